--- a/access/access.go
+++ b/access/access.go
@@ -176,13 +176,13 @@
 		return "", false
 	}
 	key = strings.Trim(value[len(scheme):], " ")
-	if key == "" || len(key) > MaxKey || strings.ContainsFunc(key, unfit) {
+	if key == "" || len(key) > MaxKey || strings.ContainsFunc(key, invalidInKey) {
 		return "", false
 	}
 	return key, true
 }
 
-// unfit says whether a sign cannot be in a key: blanks, commas between several, and what is not plain text.
-func unfit(r rune) bool {
+// invalidInKey says whether a sign cannot be in a key: blanks, commas between several, and what is not plain text.
+func invalidInKey(r rune) bool {
 	return r <= ' ' || r == ',' || r > '~'
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-var sound = access.Trust{Proved: true, Age: 100, Lapse: 4900, Settled: 2500}
+var fresh = access.Trust{Proved: true, Age: 100, Lapse: 4900, Settled: 2500}
 
 func directory(t testing.TB) *access.Directory {
 	d := access.NewDirectory()
@@ -31,25 +31,25 @@
 		want   access.Verdict
 		space  ident.Workspace
 	}{
-		{"known", []string{"Bearer key-of-shops"}, sound, access.Allowed, "shops"},
-		{"another one", []string{"Bearer key-of-couriers"}, sound, access.Allowed, "couriers"},
-		{"case of the scheme", []string{"bEARER key-of-shops"}, sound, access.Allowed, "shops"},
-		{"more blanks", []string{"Bearer   key-of-shops "}, sound, access.Allowed, "shops"},
-		{"none", nil, sound, access.NoKey, ""},
-		{"empty", []string{""}, sound, access.NoKey, ""},
-		{"no key", []string{"Bearer "}, sound, access.NoKey, ""},
-		{"scheme alone", []string{"Bearer"}, sound, access.NoKey, ""},
-		{"no blank", []string{"Bearerkey-of-shops"}, sound, access.NoKey, ""},
-		{"key alone", []string{"key-of-shops"}, sound, access.NoKey, ""},
-		{"another scheme", []string{"Basic key-of-shops"}, sound, access.NoKey, ""},
-		{"two values", []string{"Bearer key-of-shops", "Bearer key-of-shops"}, sound, access.NoKey, ""},
-		{"two in one value", []string{"Bearer key-of-shops, Bearer key-of-shops"}, sound, access.NoKey, ""},
-		{"blank inside", []string{"Bearer key-of shops"}, sound, access.NoKey, ""},
-		{"tab", []string{"Bearer\tkey-of-shops"}, sound, access.NoKey, ""},
-		{"not plain text", []string{"Bearer key-of-shöps"}, sound, access.NoKey, ""},
-		{"too long", []string{"Bearer " + long}, sound, access.NoKey, ""},
-		{"case of the key", []string{"Bearer Key-of-shops"}, sound, access.UnknownKey, ""},
-		{"unknown", []string{"Bearer x"}, sound, access.UnknownKey, ""},
+		{"known", []string{"Bearer key-of-shops"}, fresh, access.Allowed, "shops"},
+		{"another one", []string{"Bearer key-of-couriers"}, fresh, access.Allowed, "couriers"},
+		{"case of the scheme", []string{"bEARER key-of-shops"}, fresh, access.Allowed, "shops"},
+		{"more blanks", []string{"Bearer   key-of-shops "}, fresh, access.Allowed, "shops"},
+		{"none", nil, fresh, access.NoKey, ""},
+		{"empty", []string{""}, fresh, access.NoKey, ""},
+		{"no key", []string{"Bearer "}, fresh, access.NoKey, ""},
+		{"scheme alone", []string{"Bearer"}, fresh, access.NoKey, ""},
+		{"no blank", []string{"Bearerkey-of-shops"}, fresh, access.NoKey, ""},
+		{"key alone", []string{"key-of-shops"}, fresh, access.NoKey, ""},
+		{"another scheme", []string{"Basic key-of-shops"}, fresh, access.NoKey, ""},
+		{"two values", []string{"Bearer key-of-shops", "Bearer key-of-shops"}, fresh, access.NoKey, ""},
+		{"two in one value", []string{"Bearer key-of-shops, Bearer key-of-shops"}, fresh, access.NoKey, ""},
+		{"blank inside", []string{"Bearer key-of shops"}, fresh, access.NoKey, ""},
+		{"tab", []string{"Bearer\tkey-of-shops"}, fresh, access.NoKey, ""},
+		{"not plain text", []string{"Bearer key-of-shöps"}, fresh, access.NoKey, ""},
+		{"too long", []string{"Bearer " + long}, fresh, access.NoKey, ""},
+		{"case of the key", []string{"Bearer Key-of-shops"}, fresh, access.UnknownKey, ""},
+		{"unknown", []string{"Bearer x"}, fresh, access.UnknownKey, ""},
 		{"trust has lapsed", []string{"Bearer key-of-shops"}, access.Trust{Proved: true, Age: 4900, Lapse: 4900}, access.Unproven, ""},
 		{"just before", []string{"Bearer key-of-shops"}, access.Trust{Proved: true, Age: 4899, Lapse: 4900}, access.Allowed, "shops"},
 		{"nothing proved", []string{"Bearer key-of-shops"}, access.Trust{Lapse: 4900}, access.Unproven, ""},
@@ -80,21 +80,21 @@
 	shared := access.DigestOf("shared")
 	is.NoErr(d.Add(access.Workspace{Name: "a"}, []access.Digest{shared}))
 	is.True(d.Add(access.Workspace{Name: "b"}, []access.Digest{shared, access.DigestOf("of-b")}) != nil)
-	_, v := d.Decide([]string{"Bearer shared"}, sound)
+	_, v := d.Decide([]string{"Bearer shared"}, fresh)
 	is.Equal(v, access.UnknownKey)
 	is.True(d.Add(access.Workspace{Name: "c"}, []access.Digest{shared}) != nil) // a third one does not get it either
-	_, v = d.Decide([]string{"Bearer shared"}, sound)
+	_, v = d.Decide([]string{"Bearer shared"}, fresh)
 	is.Equal(v, access.UnknownKey)
-	w, _ := d.Decide([]string{"Bearer of-b"}, sound)
+	w, _ := d.Decide([]string{"Bearer of-b"}, fresh)
 	is.Equal(w.Name, ident.Workspace("b"))
 	is.True(d.Add(access.Workspace{Name: "shops"}, []access.Digest{access.DigestOf("second")}) != nil)
-	_, v = d.Decide([]string{"Bearer second"}, sound)
+	_, v = d.Decide([]string{"Bearer second"}, fresh)
 	is.Equal(v, access.UnknownKey)
 	is.True(d.Add(access.Workspace{Name: "odd", Fault: "its limit is text"}, []access.Digest{access.DigestOf("odd")}) != nil)
-	_, v = d.Decide([]string{"Bearer odd"}, sound)
+	_, v = d.Decide([]string{"Bearer odd"}, fresh)
 	is.Equal(v, access.Unusable)
 	is.True(d.Add(access.Workspace{Name: "line\nbreak"}, []access.Digest{access.DigestOf("line")}) != nil)
-	_, v = d.Decide([]string{"Bearer line"}, sound)
+	_, v = d.Decide([]string{"Bearer line"}, fresh)
 	is.Equal(v, access.UnknownKey)
 }
 
@@ -160,6 +160,6 @@
 	values := []string{"Bearer uakn2ftimaj3nr26tta8"}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.Decide(values, sound)
+		d.Decide(values, fresh)
 	}
 }
--- a/assign/assign.go
+++ b/assign/assign.go
@@ -68,7 +68,7 @@
 	slices.Sort(weights)
 	weights = slices.Compact(weights)
 	for _, w := range slices.Backward(weights) {
-		for _, c := range Rank(key, weighing(candidates, w)) {
+		for _, c := range Rank(key, withWeight(candidates, w)) {
 			if need <= 0 && len(list) >= few {
 				return list
 			}
@@ -79,8 +79,8 @@
 	return list
 }
 
-// weighing returns the candidates of that weight, each with the same chance.
-func weighing(candidates []Candidate, w uint32) (list []Candidate) {
+// withWeight returns the candidates of that weight, each with the same chance.
+func withWeight(candidates []Candidate, w uint32) (list []Candidate) {
 	for _, c := range candidates {
 		if c.Weight == w {
 			c.Weight = FullWeight
--- a/assign/sharers.go
+++ b/assign/sharers.go
@@ -12,27 +12,27 @@
 // with its part, and nodes differ in whom they suspect.
 const SettleFor = 3 * clock.Second
 
-// countAfter is for how long another node must have been seen sharing to count: one that did so for a moment had no part
+// minPresence is for how long another node must have been seen sharing to count: one that did so for a moment had no part
 // yet. What is left of SettleFor is for news that comes late.
-const countAfter = SettleFor / 2
+const minPresence = SettleFor / 2
 
 // A Sharers struct remembers who shared something with this node of late, so that parts of it add up to one at most
 // while nodes disagree. It is not safe for concurrent use.
 type Sharers struct {
-	seen map[ident.Node]sighting
-	// since is when this node became one of them, and looked when it last looked.
-	since, looked clock.Millis
-	shares        bool
+	seen map[ident.Node]presence
+	// joinedAt is when this node became one of them, and observedAt when it last looked.
+	joinedAt, observedAt clock.Millis
+	shares               bool
 }
 
-// A sighting is when a node was first and last seen sharing, with gaps that are shorter than SettleFor.
-type sighting struct {
+// A presence is when a node was first and last seen sharing, with gaps that are shorter than SettleFor.
+type presence struct {
 	first, last clock.Millis
 }
 
 // NewSharers returns the memory of a node that has seen nobody yet.
 func NewSharers() *Sharers {
-	return &Sharers{seen: map[ident.Node]sighting{}}
+	return &Sharers{seen: map[ident.Node]presence{}}
 }
 
 // See takes in whom this node sees sharing now, and whether itself is one of them. It returns how many to count, and
@@ -44,18 +44,18 @@
 		since -= SettleFor
 		clear(s.seen)
 	}
-	stood := now-s.looked > SettleFor // this process stood still, and others may have stopped counting it
-	if shares && (!s.shares || stood) {
-		s.since = since
+	paused := now-s.observedAt > SettleFor // this process stood still, and others may have stopped counting it
+	if shares && (!s.shares || paused) {
+		s.joinedAt = since
 	}
-	s.shares, s.looked = shares, now
-	s.note(sharing, since, now)
-	return s.count(), shares && now-s.since >= SettleFor
+	s.shares, s.observedAt = shares, now
+	s.record(sharing, since, now)
+	return s.count(), shares && now-s.joinedAt >= SettleFor
 }
 
-// note takes in who is seen sharing, those that were not seen of late since the time given.
-func (s *Sharers) note(sharing []ident.Node, since, now clock.Millis) {
-	maps.DeleteFunc(s.seen, func(_ ident.Node, at sighting) bool { return now-at.last > SettleFor })
+// record takes in who is seen sharing, those that were not seen of late since the time given.
+func (s *Sharers) record(sharing []ident.Node, since, now clock.Millis) {
+	maps.DeleteFunc(s.seen, func(_ ident.Node, at presence) bool { return now-at.last > SettleFor })
 	for _, n := range sharing {
 		at, found := s.seen[n]
 		if !found {
@@ -69,7 +69,7 @@
 // count returns how many have been seen for long enough to have a part.
 func (s *Sharers) count() (n int) {
 	for _, at := range s.seen {
-		if at.last-at.first >= countAfter {
+		if at.last-at.first >= minPresence {
 			n++
 		}
 	}
--- a/limit/deal.go
+++ b/limit/deal.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// dealShare is the share of the nodes of late that a node must hear to have the whole dealt out anew among those
+	// quorumShare is the share of the nodes of late that a node must hear to have the whole dealt out anew among those
 	// that live: of a fleet that is cut, one side at most has it.
-	dealShare = 0.6
+	quorumShare = 0.6
 	// keepShare is the share from which a node keeps the part that it had: it may be on the larger side of a cut, or
 	// on one of two that are alike, and nobody then deals anew.
-	keepShare = 1 - dealShare
-	// leastCarriers is how many nodes a node that has just started takes for sharing with it: it may not know them yet.
-	leastCarriers = 16
+	keepShare = 1 - quorumShare
+	// minSharers is how many nodes a node that has just started takes for sharing with it: it may not know them yet.
+	minSharers = 16
 )
 
 // A View struct is what a node sees of those that share a workspace's limit with it.
@@ -37,11 +37,11 @@
 	Fresh bool
 }
 
-// settled returns the view that parts are dealt by: who shared of late counts, and the node itself once others count it.
+// withSettledSharers returns the view that parts are dealt by: who shared of late counts, and the node itself once others count it.
 // One that hears too few others has no part, and may no longer count among those that hear each other. One that is the whole
 // fleet has nobody to wait for, and one that has just started does not wait: where all have, one after the other, nobody
 // would have a part for as long.
-func (v View) settled(s *assign.Sharers, now clock.Millis) View {
+func (v View) withSettledSharers(s *assign.Sharers, now clock.Millis) View {
 	count, settled := s.See(v.Sharing, v.Carries && v.Deals(), v.Fresh || v.Young || max(v.Live, v.Known) <= 1, now)
 	if len(v.Sharing) > 0 {
 		v.Carriers = max(count, 1)
@@ -57,7 +57,7 @@
 
 // MetMost says whether the process hears most of the nodes that it was told of.
 func (v View) MetMost() bool {
-	return float64(v.Met) >= dealShare*float64(v.Named)
+	return float64(v.Met) >= quorumShare*float64(v.Named)
 }
 
 // MetAll says whether the process has met all of the nodes that it was told of.
@@ -70,18 +70,18 @@
 // have the whole at most.
 const incompleteShare = 0.5
 
-// A meeting is since when a process that has not met all named nodes has heard most of them.
-type meeting struct {
-	since clock.Millis
-	most  bool
+// A seedContact is since when a process that has not met all named nodes has heard most of them.
+type seedContact struct {
+	since  clock.Millis
+	quorum bool
 }
 
-// part returns which part of its share the node may use by now.
-func (m *meeting) part(v View, now clock.Millis) float64 {
-	if !m.most {
+// fraction returns which fraction of its share the node may use by now.
+func (m *seedContact) fraction(v View, now clock.Millis) float64 {
+	if !m.quorum {
 		m.since = now
 	}
-	m.most = v.MetMost()
+	m.quorum = v.MetMost()
 	if v.MetAll() || now-m.since >= assign.SettleFor {
 		return 1
 	}
@@ -90,17 +90,17 @@
 
 // Share returns the node's part of each limit, if it had the one held: parts add up to one at most, whoever hears
 // whom.
-func (v View) Share(held float64) float64 {
-	heard := float64(v.Live) / float64(max(v.Known, v.Live, 1))
+func (v View) Share(current float64) float64 {
+	reachable := float64(v.Live) / float64(max(v.Known, v.Live, 1))
 	switch {
 	case !v.Deals():
 		return 0
-	case heard < dealShare:
-		return held
+	case reachable < quorumShare:
+		return current
 	case !v.Carries:
 		return 0
 	case v.Young:
-		return 1 / float64(max(v.Carriers, leastCarriers))
+		return 1 / float64(max(v.Carriers, minSharers))
 	}
 	return 1 / float64(max(v.Carriers, 1))
 }
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -21,14 +21,14 @@
 	nodes  []*node
 	// carriers is how many nodes callers are sent to.
 	carriers int
-	// lends says that nodes lend each other, lost is the share of messages that do not arrive.
-	lends bool
-	lost  float64
-	// notices is how long a node takes others for heard that it does not hear any more.
-	notices clock.Millis
-	waiting []waiter
-	// mail is what is on its way, in order.
-	mail []message
+	// lending says that nodes lend each other, lossRate is the share of messages that do not arrive.
+	lending  bool
+	lossRate float64
+	// detectionDelay is how long a node takes others for heard that it does not hear any more.
+	detectionDelay clock.Millis
+	waiting        []waiter
+	// inFlight is what is on its way, in order.
+	inFlight []message
 	// admitted are the times of requests that were admitted, by workspace, and refused counts the others.
 	admitted map[ident.Workspace][]clock.Millis
 	refused  map[ident.Workspace]int
@@ -42,23 +42,23 @@
 }
 
 type node struct {
-	id      int
-	table   *limit.Table
-	clock   *stoppable
-	began   clock.Millis
-	known   int
-	met     bool
-	side    int
-	down    bool
-	stopped bool
+	id              int
+	table           *limit.Table
+	clock           *pausableClock
+	startedAt       clock.Millis
+	known           int
+	reachedAllSeeds bool
+	side            int
+	down            bool
+	paused          bool
 	// heardAt is when the node last heard each other one.
 	heardAt map[*node]clock.Millis
-	// doubts are until when this node does not take others for such that callers may be sent to, though it hears them.
-	doubts map[*node]clock.Millis
+	// suspectedUntil are until when this node does not take others for such that callers may be sent to, though it hears them.
+	suspectedUntil map[*node]clock.Millis
 }
 
-// stoppable is a node's clock, which runs on while the node stands still.
-type stoppable struct{ clock.Clock }
+// pausableClock is a node's clock, which runs on while the node stands still.
+type pausableClock struct{ clock.Clock }
 
 type message struct {
 	at       clock.Millis
@@ -70,16 +70,16 @@
 }
 
 const (
-	window = 5 * clock.Second
-	step   = 10
-	way    = 10
-	// waits is how long a request waits for a loan.
-	waits = 30
+	window  = 5 * clock.Second
+	step    = 10
+	latency = 10
+	// loanWait is how long a request waits for a loan.
+	loanWait = 30
 )
 
 func newFleet(t reporter, nodes, carriers int, lends bool, seed uint64) *fleet {
 	f := &fleet{
-		t: t, clock: clock.NewManual(100_000), rand: rand.New(rand.NewPCG(seed, 1)), carriers: carriers, lends: lends,
+		t: t, clock: clock.NewManual(100_000), rand: rand.New(rand.NewPCG(seed, 1)), carriers: carriers, lending: lends,
 		bounds:   limit.Bounds{Window: window, Overshoot: 0.1, Slack: 20},
 		admitted: map[ident.Workspace][]clock.Millis{}, refused: map[ident.Workspace]int{},
 	}
@@ -93,25 +93,25 @@
 
 // start starts a node's process anew.
 func (f *fleet) start(n *node) {
-	n.clock = &stoppable{f.clock}
-	n.table, n.began, n.down, n.known, n.met = limit.New(n.clock, f.bounds), f.clock.Now(), false, 0, false
+	n.clock = &pausableClock{f.clock}
+	n.table, n.startedAt, n.down, n.known, n.reachedAllSeeds = limit.New(n.clock, f.bounds), f.clock.Now(), false, 0, false
 	n.heardAt = map[*node]clock.Millis{}
 }
 
-// hears says whether messages go from one node to the other.
-func (f *fleet) hears(a, b *node) bool {
+// connected says whether messages go from one node to the other.
+func (f *fleet) connected(a, b *node) bool {
 	return !a.down && !b.down && a.side == b.side
 }
 
-// takes says whether a node takes the other one for heard.
-func (f *fleet) takes(n, m *node) bool {
+// considersReachable says whether a node takes the other one for heard.
+func (f *fleet) considersReachable(n, m *node) bool {
 	now := f.clock.Now()
-	if m == n || f.hears(n, m) {
+	if m == n || f.connected(n, m) {
 		n.heardAt[m] = now
 		return true
 	}
 	at, heard := n.heardAt[m]
-	return heard && now-at < f.notices
+	return heard && now-at < f.detectionDelay
 }
 
 // view is what a node sees, and who carries by it: the first ones that it hears.
@@ -120,32 +120,32 @@
 	fresh := true
 	now := f.clock.Now()
 	for _, m := range f.nodes {
-		if !f.takes(n, m) {
+		if !f.considersReachable(n, m) {
 			continue
 		}
 		v.Live++
-		if f.hears(n, m) {
+		if f.connected(n, m) {
 			n.known = max(n.known, m.known) // nodes tell each other when they meet
 		}
-		if v.Carriers < f.carriers && n.doubts[m] <= now {
+		if v.Carriers < f.carriers && n.suspectedUntil[m] <= now {
 			v.Carriers++
 			v.Sharing = append(v.Sharing, ident.Node(fmt.Sprint(m.id)))
 			v.Carries = v.Carries || m == n
 		}
-		fresh = fresh && max(m.began-n.began, n.began-m.began) < 3*clock.Second
+		fresh = fresh && max(m.startedAt-n.startedAt, n.startedAt-m.startedAt) < 3*clock.Second
 	}
 	n.known = max(n.known, v.Live)
 	for _, i := range slices.Compact([]int{0, len(f.nodes) / 2, len(f.nodes) - 1}) { // named in the settings
 		v.Named++
-		if f.takes(n, f.nodes[i]) {
+		if f.considersReachable(n, f.nodes[i]) {
 			v.Met++
 		}
 	}
-	if n.met = n.met || v.MetAll(); n.met {
+	if n.reachedAllSeeds = n.reachedAllSeeds || v.MetAll(); n.reachedAllSeeds {
 		v.Named, v.Met = 0, 0
 	}
-	v.Known, v.Young = n.known, now-n.began < 500
-	v.Fresh = fresh && now-n.began < 2*clock.Second
+	v.Known, v.Young = n.known, now-n.startedAt < 500
+	v.Fresh = fresh && now-n.startedAt < 2*clock.Second
 	return v
 }
 
@@ -154,9 +154,9 @@
 	for range span / step {
 		f.clock.Advance(step)
 		f.deliver()
-		f.await()
+		f.retryWaiting()
 		for _, n := range f.nodes {
-			if n.down || n.stopped {
+			if n.down || n.paused {
 				continue
 			}
 			if f.clock.Now()%100 == 0 {
@@ -176,21 +176,21 @@
 
 func (f *fleet) request(n *node, w ident.Workspace, r limit.Rate) {
 	admitted, q := n.table.Take(w, r)
-	if q != nil && f.lends {
+	if q != nil && f.lending {
 		f.ask(n, q)
 	}
 	switch {
 	case admitted:
 		f.admitted[w] = append(f.admitted[w], f.clock.Now())
-	case f.lends:
-		f.waiting = append(f.waiting, waiter{node: n, w: w, until: f.clock.Now() + waits})
+	case f.lending:
+		f.waiting = append(f.waiting, waiter{node: n, w: w, until: f.clock.Now() + loanWait})
 	default:
 		f.refused[w]++
 	}
 }
 
-// await admits requests that wait for what their nodes asked for, and refuses those that waited long enough.
-func (f *fleet) await() {
+// retryWaiting admits requests that wait for what their nodes asked for, and refuses those that waited long enough.
+func (f *fleet) retryWaiting() {
 	waiting := f.waiting
 	f.waiting = nil
 	for _, x := range waiting {
@@ -225,22 +225,22 @@
 }
 
 func (f *fleet) send(m message) {
-	if f.rand.Float64() < f.lost || !f.hears(f.nodes[m.from], f.nodes[m.to]) {
+	if f.rand.Float64() < f.lossRate || !f.connected(f.nodes[m.from], f.nodes[m.to]) {
 		return
 	}
-	m.at = f.clock.Now() + way
-	f.mail = append(f.mail, m)
+	m.at = f.clock.Now() + latency
+	f.inFlight = append(f.inFlight, m)
 }
 
 // deliver hands over what has arrived; what arrives at a node that stands still waits there.
 func (f *fleet) deliver() {
-	mail := f.mail
-	f.mail = nil
+	mail := f.inFlight
+	f.inFlight = nil
 	for _, m := range mail {
 		to := f.nodes[m.to]
 		switch {
-		case m.at > f.clock.Now() || to.stopped:
-			f.mail = append(f.mail, m)
+		case m.at > f.clock.Now() || to.paused:
+			f.inFlight = append(f.inFlight, m)
 		case to.down:
 		case m.ask != nil:
 			r := f.rateOf(m.ask.Workspace)
@@ -262,7 +262,7 @@
 // check fails if any window has more than the bounds allow, and returns the share that was refused.
 func (f *fleet) check(name string) (refused float64) {
 	f.t.Helper()
-	all, no := 0, 0
+	all, refusedCount := 0, 0
 	for w, r := range rates {
 		times := f.admitted[w]
 		most, from := 0, 0
@@ -277,13 +277,13 @@
 			f.t.Errorf("%s: %s made %d requests in a window, %.0f are allowed", name, w, most, allowed)
 		}
 		all += len(times) + f.refused[w]
-		no += f.refused[w]
+		refusedCount += f.refused[w]
 	}
-	return float64(no) / float64(max(all, 1))
+	return float64(refusedCount) / float64(max(all, 1))
 }
 
-// usual is what workspaces send when all is well: some rate / 1.6, to the carriers alike.
-func (f *fleet) usual(times float64) func(w ident.Workspace, n *node) float64 {
+// evenLoad is what workspaces send when all is well: some rate / 1.6, to the carriers alike.
+func (f *fleet) evenLoad(times float64) func(w ident.Workspace, n *node) float64 {
 	return func(w ident.Workspace, n *node) float64 {
 		if n.id >= f.carriers {
 			return 0
@@ -292,8 +292,8 @@
 	}
 }
 
-// uneven sends all of a workspace's requests to two nodes.
-func (f *fleet) uneven(times float64) func(w ident.Workspace, n *node) float64 {
+// loadOnTwo sends all of a workspace's requests to two nodes.
+func (f *fleet) loadOnTwo(times float64) func(w ident.Workspace, n *node) float64 {
 	return func(w ident.Workspace, n *node) float64 {
 		if n.id > 1 {
 			return 0
@@ -311,64 +311,64 @@
 		name string
 		play func(f *fleet)
 	}{
-		{"hot workspaces", func(f *fleet) { f.run(20*clock.Second, rates, f.usual(flood)) }},
-		{"hot workspaces on two nodes", func(f *fleet) { f.run(20*clock.Second, rates, f.uneven(flood)) }},
+		{"hot workspaces", func(f *fleet) { f.run(20*clock.Second, rates, f.evenLoad(flood)) }},
+		{"hot workspaces on two nodes", func(f *fleet) { f.run(20*clock.Second, rates, f.loadOnTwo(flood)) }},
 		{"calm, then hot", func(f *fleet) {
-			f.run(10*clock.Second, rates, f.usual(0.1))
-			f.run(10*clock.Second, rates, f.usual(flood))
+			f.run(10*clock.Second, rates, f.evenLoad(0.1))
+			f.run(10*clock.Second, rates, f.evenLoad(flood))
 		}},
 		{"messages are lost", func(f *fleet) {
-			f.lost = 0.3
-			f.run(20*clock.Second, rates, f.uneven(flood))
+			f.lossRate = 0.3
+			f.run(20*clock.Second, rates, f.loadOnTwo(flood))
 		}},
 		{"cut in halves", func(f *fleet) {
-			f.run(8*clock.Second, rates, f.usual(0.1))
-			f.cut(len(f.nodes) / 2)
-			f.run(20*clock.Second, rates, f.everywhere(flood))
+			f.run(8*clock.Second, rates, f.evenLoad(0.1))
+			f.partition(len(f.nodes) / 2)
+			f.run(20*clock.Second, rates, f.loadOnAll(flood))
 		}},
 		{"a third cut off, and back", func(f *fleet) {
-			f.run(8*clock.Second, rates, f.usual(0.1))
-			f.cut(len(f.nodes) / 3)
-			f.run(10*clock.Second, rates, f.everywhere(flood))
-			f.cut(0)
-			f.run(10*clock.Second, rates, f.everywhere(flood))
+			f.run(8*clock.Second, rates, f.evenLoad(0.1))
+			f.partition(len(f.nodes) / 3)
+			f.run(10*clock.Second, rates, f.loadOnAll(flood))
+			f.partition(0)
+			f.run(10*clock.Second, rates, f.loadOnAll(flood))
 		}},
 		{"in fifths", func(f *fleet) {
-			f.run(8*clock.Second, rates, f.usual(0.1))
+			f.run(8*clock.Second, rates, f.evenLoad(0.1))
 			for i, n := range f.nodes {
 				n.side = i % 5
 			}
-			f.run(20*clock.Second, rates, f.everywhere(flood))
+			f.run(20*clock.Second, rates, f.loadOnAll(flood))
 		}},
 		{"all killed twice in a window", func(f *fleet) {
-			f.run(10*clock.Second, rates, f.usual(0.1))
-			f.run(clock.Second, rates, f.usual(flood))
+			f.run(10*clock.Second, rates, f.evenLoad(0.1))
+			f.run(clock.Second, rates, f.evenLoad(flood))
 			for range 2 {
 				f.killAll(200)
-				f.run(1500, rates, f.usual(flood))
+				f.run(1500, rates, f.evenLoad(flood))
 			}
-			f.run(10*clock.Second, rates, f.usual(flood))
+			f.run(10*clock.Second, rates, f.evenLoad(flood))
 		}},
 		{"some killed again and again", func(f *fleet) {
-			f.run(10*clock.Second, rates, f.usual(0.1))
+			f.run(10*clock.Second, rates, f.evenLoad(0.1))
 			for i := range 10 {
 				n := f.nodes[i%f.carriers]
 				n.down = true
-				f.run(700, rates, f.usual(flood))
+				f.run(700, rates, f.evenLoad(flood))
 				f.start(n)
-				f.run(300, rates, f.usual(flood))
+				f.run(300, rates, f.evenLoad(flood))
 			}
 		}},
 		{"stand still and wake", func(f *fleet) {
-			f.run(10*clock.Second, rates, f.usual(0.1))
+			f.run(10*clock.Second, rates, f.evenLoad(0.1))
 			for _, n := range f.nodes[:f.carriers/2] {
-				n.stopped = true
+				n.paused = true
 			}
-			f.run(6*clock.Second, rates, f.usual(flood))
+			f.run(6*clock.Second, rates, f.evenLoad(flood))
 			for _, n := range f.nodes {
-				n.stopped = false
+				n.paused = false
 			}
-			f.run(10*clock.Second, rates, f.usual(flood))
+			f.run(10*clock.Second, rates, f.evenLoad(flood))
 		}},
 	}
 	for _, c := range cases {
@@ -393,10 +393,10 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d of %d nodes, %d", size.carriers, size.nodes, seed), func(t *testing.T) {
 				f := newFleet(t, size.nodes, size.carriers, true, seed)
-				f.run(10*clock.Second, rates, f.everywhere(0.1))
+				f.run(10*clock.Second, rates, f.loadOnAll(0.1))
 				for range 8 {
-					f.doubt(0.5)
-					f.run(2*clock.Second, rates, f.everywhere(8))
+					f.suspectAtRandom(0.5)
+					f.run(2*clock.Second, rates, f.loadOnAll(8))
 				}
 				f.check("doubts")
 			})
@@ -404,15 +404,15 @@
 	}
 }
 
-// everywhere sends requests to the carriers, and to what nodes of each side take for carriers.
-func (f *fleet) everywhere(times float64) func(w ident.Workspace, n *node) float64 {
+// loadOnAll sends requests to the carriers, and to what nodes of each side take for carriers.
+func (f *fleet) loadOnAll(times float64) func(w ident.Workspace, n *node) float64 {
 	return func(w ident.Workspace, _ *node) float64 {
 		return times * rates[w].PerSecond / 1.6 / float64(len(f.nodes))
 	}
 }
 
-// cut puts every node before the one named on a side of its own.
-func (f *fleet) cut(first int) {
+// partition puts every node before the one named on a side of its own.
+func (f *fleet) partition(first int) {
 	for i, n := range f.nodes {
 		n.side = 0
 		if i < first {
@@ -421,13 +421,13 @@
 	}
 }
 
-// doubt has each node doubt some of the others for less than a suspicion lasts, all by chance.
-func (f *fleet) doubt(share float64) {
+// suspectAtRandom has each node suspect some of the others for less than a suspicion lasts, all by chance.
+func (f *fleet) suspectAtRandom(share float64) {
 	for _, n := range f.nodes {
-		n.doubts = map[*node]clock.Millis{}
+		n.suspectedUntil = map[*node]clock.Millis{}
 		for _, m := range f.nodes {
 			if m != n && f.rand.Float64() < share {
-				n.doubts[m] = f.clock.Now() + clock.Millis(f.rand.IntN(2500))
+				n.suspectedUntil[m] = f.clock.Now() + clock.Millis(f.rand.IntN(2500))
 			}
 		}
 	}
@@ -438,7 +438,7 @@
 	for _, n := range f.nodes {
 		n.down = true
 	}
-	f.mail = nil
+	f.inFlight = nil
 	f.clock.Advance(down)
 	for _, n := range f.nodes {
 		f.start(n)
@@ -466,10 +466,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 30, c.carriers, c.lends, 5)
-			f.run(8*clock.Second, rates, f.usual(0))
-			ask := f.usual(1)
+			f.run(8*clock.Second, rates, f.evenLoad(0))
+			ask := f.evenLoad(1)
 			if c.uneven {
-				ask = f.uneven(1)
+				ask = f.loadOnTwo(1)
 			}
 			f.run(40*clock.Second, rates, ask)
 			got := f.check(c.name)
@@ -485,12 +485,12 @@
 // once when they start again.
 func TestStartServesWhatComesBack(t *testing.T) {
 	f := newFleet(t, 30, 6, true, 7)
-	f.run(20*clock.Second, rates, f.usual(1))
+	f.run(20*clock.Second, rates, f.evenLoad(1))
 	f.refused = map[ident.Workspace]int{}
 	f.killAll(1500)
-	f.run(500, rates, f.usual(0))
-	f.run(1*clock.Second, rates, f.usual(2))
-	f.run(4*clock.Second, rates, f.usual(1))
+	f.run(500, rates, f.evenLoad(0))
+	f.run(1*clock.Second, rates, f.evenLoad(2))
+	f.run(4*clock.Second, rates, f.evenLoad(1))
 	no := 0
 	for w := range rates {
 		no += f.refused[w]
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -27,17 +27,17 @@
 }
 
 const (
-	// lentFor is how long what was borrowed may be on its way, or used beyond what the borrower may save, from when it
+	// loanTTL is how long what was borrowed may be on its way, or used beyond what the borrower may save, from when it
 	// was asked for. For so long the lender may not save what it lent, so it is on one account at any time.
-	lentFor clock.Millis = 500
+	loanTTL clock.Millis = 500
 	// rateShare is the part of what the window allows by the second that is given by the second. The rest is saved for
 	// bursts and starts.
 	rateShare = 0.85
-	// mostShare is the part of that which may be saved for bursts, and startShare the part that a fleet has when it
+	// burstShare is the part of that which may be saved for bursts, and initialShare the part that a fleet has when it
 	// starts, when all that was refused meanwhile comes back at once: it may start twice in a window. What is left is
 	// for nodes that see different others for a while.
-	mostShare  = 0.66
-	startShare = 0.14
+	burstShare   = 0.66
+	initialShare = 0.14
 )
 
 // perMilli returns what all nodes together are given by the millisecond.
@@ -45,27 +45,27 @@
 	return r.PerSecond / float64(clock.Second) * (1 + b.Overshoot) * rateShare
 }
 
-// spare returns how many requests the window allows beside those by the second.
-func (b Bounds) spare(r Rate) float64 {
+// headroom returns how many requests the window allows beside those by the second.
+func (b Bounds) headroom(r Rate) float64 {
 	return b.Allowed(r) - b.perMilli(r)*float64(b.Window)
 }
 
-// most returns how much all nodes together may have saved.
-func (b Bounds) most(r Rate) float64 {
-	return b.spare(r) * mostShare
+// capacity returns how much all nodes together may have saved.
+func (b Bounds) capacity(r Rate) float64 {
+	return b.headroom(r) * burstShare
 }
 
-// start returns how much all nodes together have when they start.
-func (b Bounds) start(r Rate) float64 {
-	return b.spare(r) * startShare
+// initial returns how much all nodes together have when they start.
+func (b Bounds) initial(r Rate) float64 {
+	return b.headroom(r) * initialShare
 }
 
 // grant returns what a limit comes to by a node's parts. A fleet whose nodes all started when the first part began has
 // what there is for starts, others had nothing then.
-func (b Bounds) grant(r Rate, parts []part, fresh bool) grant {
-	g := grant{window: b.Window, perMilli: b.perMilli(r), most: b.most(r), parts: parts}
-	if fresh {
-		g.base = b.start(r)
+func (b Bounds) grant(r Rate, allocations []allocation, coldStart bool) grant {
+	g := grant{window: b.Window, perMilli: b.perMilli(r), capacity: b.capacity(r), allocations: allocations}
+	if coldStart {
+		g.initial = b.initial(r)
 	}
 	return g
 }
--- a/limit/long_test.go
+++ b/limit/long_test.go
@@ -18,7 +18,7 @@
 			for w, r := range rates {
 				t.Run(fmt.Sprint(nodes, " nodes, callers at ", at, ", ", w), func(t *testing.T) {
 					f := newFleet(t, nodes, 6, true, 11)
-					f.run(8*clock.Second, rates, f.usual(0))
+					f.run(8*clock.Second, rates, f.evenLoad(0))
 					f.run(20*clock.Second, rates, func(asks ident.Workspace, n *node) float64 {
 						if asks != w || n.id >= at {
 							return 0
--- a/limit/table.go
+++ b/limit/table.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// askPause is the least time between two questions for a workspace, and askPauseMost the time after several that
+	// minAskInterval is the least time between two questions for a workspace, and maxAskInterval the time after several that
 	// brought nothing: what cannot be had is not asked for as often as requests come.
-	askPause     clock.Millis = 40
-	askPauseMost clock.Millis = 640
-	// askFor is for how much of the usual work is borrowed at once.
-	askFor clock.Millis = 300
+	minAskInterval clock.Millis = 40
+	maxAskInterval clock.Millis = 640
+	// loanSpan is for how much of the usual work is borrowed at once.
+	loanSpan clock.Millis = 300
 	// askShare is the part of that which each of those that are asked is asked for: some have nothing to spare. What
 	// comes beyond need lapses or lies idle.
 	askShare = 0.2
-	// stalled is how long a process that runs is never without a look at the time: after more it stood still, and
+	// maxTickGap is how long a process that runs is never without a look at the time: after more it stood still, and
 	// others may have been given its part.
-	stalled clock.Millis = 700
-	// maxAccounts bounds the workspaces that are kept; those unused for idleFor are forgotten first.
+	maxTickGap clock.Millis = 700
+	// maxAccounts bounds the workspaces that are kept; those unused for idleTimeout are forgotten first.
 	maxAccounts         = 1 << 14
-	idleFor             = 1 * clock.Minute
-	smallest    float64 = 0.01
+	idleTimeout         = 1 * clock.Minute
+	minLoan     float64 = 0.01
 )
 
 // A Table struct holds what one node may still admit, by workspace. It is safe for concurrent use.
@@ -37,23 +37,23 @@
 
 	mu       sync.Mutex
 	accounts map[ident.Workspace]*account
-	// parts are the node's parts of each limit within the last window, and the one before.
-	parts []part
-	// began is when the process did.
-	began  clock.Millis
-	ticked clock.Millis
-	// fresh says that all nodes started with this process: it has what fleets have when they start.
-	fresh   bool
-	sharers *assign.Sharers
-	meeting meeting
-	// dealt is the node's share, of which it may use a part.
-	dealt float64
+	// allocations are the node's allocations of each limit within the last window, and the one before.
+	allocations []allocation
+	// startedAt is when the process did.
+	startedAt clock.Millis
+	tickedAt  clock.Millis
+	// coldStart says that all nodes started with this process: it has what fleets have when they start.
+	coldStart   bool
+	sharers     *assign.Sharers
+	seedContact seedContact
+	// nominalShare is the node's share, of which it may use a part.
+	nominalShare float64
 }
 
 // New returns a table of a node that has just started: it has no part of any limit yet.
 func New(c clock.Clock, b Bounds) *Table {
 	now := c.Now()
-	return &Table{clock: c, bounds: b, accounts: map[ident.Workspace]*account{}, parts: []part{{at: now}}, began: now, ticked: now, sharers: assign.NewSharers()}
+	return &Table{clock: c, bounds: b, accounts: map[ident.Workspace]*account{}, allocations: []allocation{{at: now}}, startedAt: now, tickedAt: now, sharers: assign.NewSharers()}
 }
 
 // Tick says that the process runs, and what its part of each limit is by its view of the others. It returns the part,
@@ -62,38 +62,38 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.wake(now)
-	held := t.part()
-	t.dealt = v.settled(t.sharers, now).Share(t.dealt)
-	share = t.dealt * t.meeting.part(v, now)
-	switch fresh := v.Fresh && len(t.parts) == 1 && t.parts[0].at == t.began && now-t.ticked <= stalled; {
-	case fresh:
-		t.parts, t.fresh = append(t.parts[:0], part{at: t.began, share: share}), true
-	case share != held:
-		t.move(now, share)
+	t.checkPause(now)
+	previous := t.currentShare()
+	t.nominalShare = v.withSettledSharers(t.sharers, now).Share(t.nominalShare)
+	share = t.nominalShare * t.seedContact.fraction(v, now)
+	switch coldStart := v.Fresh && len(t.allocations) == 1 && t.allocations[0].at == t.startedAt && now-t.tickedAt <= maxTickGap; {
+	case coldStart:
+		t.allocations, t.coldStart = append(t.allocations[:0], allocation{at: t.startedAt, share: share}), true
+	case share != previous:
+		t.setShare(now, share)
 	}
-	t.ticked = now
-	return share, share != held
+	t.tickedAt = now
+	return share, share != previous
 }
 
-// wake takes the part back that a process had while it stood still: others may have used it. What is asked of the table
+// checkPause takes the part back that a process had while it stood still: others may have used it. What is asked of the table
 // comes here first, since a process that wakes reads requests before it looks at the time.
-func (t *Table) wake(now clock.Millis) {
-	if now-t.ticked <= stalled || t.part() == 0 {
+func (t *Table) checkPause(now clock.Millis) {
+	if now-t.tickedAt <= maxTickGap || t.currentShare() == 0 {
 		return
 	}
-	t.move(t.ticked, 0)
-	t.dealt = 0
+	t.setShare(t.tickedAt, 0)
+	t.nominalShare = 0
 	t.dropLoans()
 }
 
-// move notes another part, and drops those that no longer count.
-func (t *Table) move(at clock.Millis, share float64) {
+// setShare notes another part, and drops those that no longer count.
+func (t *Table) setShare(at clock.Millis, share float64) {
 	n := 0
-	for n+1 < len(t.parts) && t.parts[n+1].at < at-t.bounds.Window-lentFor {
+	for n+1 < len(t.allocations) && t.allocations[n+1].at < at-t.bounds.Window-loanTTL {
 		n++
 	}
-	t.parts = append(slices.Delete(t.parts, 0, n), part{at: at, share: share})
+	t.allocations = append(slices.Delete(t.allocations, 0, n), allocation{at: at, share: share})
 }
 
 // dropLoans forgets what was borrowed.
@@ -103,53 +103,53 @@
 	}
 }
 
-// part is what the node has of each limit now.
-func (t *Table) part() float64 {
-	return t.parts[len(t.parts)-1].share
+// currentShare is what the node has of each limit now.
+func (t *Table) currentShare() float64 {
+	return t.allocations[len(t.allocations)-1].share
 }
 
 // Share returns the node's part of each limit.
 func (t *Table) Share() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.part()
+	return t.currentShare()
 }
 
 func (t *Table) grant(r Rate) grant {
-	return t.bounds.grant(r, t.parts, t.fresh)
+	return t.bounds.grant(r, t.allocations, t.coldStart)
 }
 
 // account returns the workspace's account, and what it is given now.
 func (t *Table) account(w ident.Workspace, r Rate, now clock.Millis) (*account, grant) {
-	t.wake(now)
+	t.checkPause(now)
 	g := t.grant(r)
 	a := t.accounts[w]
 	switch {
 	case a == nil:
 		if len(t.accounts) >= maxAccounts {
-			t.forget(now)
+			t.evict(now)
 		}
-		a = &account{rate: r, usualAt: now, pause: askPause}
+		a = &account{rate: r, demandAt: now, askInterval: minAskInterval}
 		t.accounts[w] = a
 	case a.rate != r:
-		a.ledger.begin(g, max(a.ledger.level(t.grant(a.rate), now), 0), now)
+		a.ledger.reset(g, max(a.ledger.balance(t.grant(a.rate), now), 0), now)
 		a.rate = r
 	}
-	a.lastAt = now
+	a.usedAt = now
 	return a, g
 }
 
-// forget drops accounts that were not used for long, or for a window at least if that is not enough: they are full, and
+// evict drops accounts that were not used for long, or for a window at least if that is not enough: they are full, and
 // one opened anew is too. All go if none is.
-func (t *Table) forget(now clock.Millis) {
-	for _, idle := range []clock.Millis{idleFor, t.bounds.Window + lentFor} {
-		maps.DeleteFunc(t.accounts, func(_ ident.Workspace, a *account) bool { return now-a.lastAt > idle })
+func (t *Table) evict(now clock.Millis) {
+	for _, idle := range []clock.Millis{idleTimeout, t.bounds.Window + loanTTL} {
+		maps.DeleteFunc(t.accounts, func(_ ident.Workspace, a *account) bool { return now-a.usedAt > idle })
 		if len(t.accounts) < maxAccounts {
 			return
 		}
 	}
 	clear(t.accounts)
-	t.parts, t.fresh = []part{{at: now, share: t.part()}}, false
+	t.allocations, t.coldStart = []allocation{{at: now, share: t.currentShare()}}, false
 }
 
 // A Question struct is what to ask other nodes for.
@@ -166,13 +166,13 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	a, g := t.account(w, r, now)
-	a.came(now)
-	held := a.held(g, now)
-	if admitted = a.takeOne(g, held, now); admitted {
+	a.countArrival(now)
+	available := a.available(g, now)
+	if admitted = a.takeOne(g, available, now); admitted {
 		a.used++
-		held--
+		available--
 	}
-	return admitted, t.question(w, a, admitted, held, now)
+	return admitted, t.loanRequest(w, a, admitted, available, now)
 }
 
 // Again admits a request that was not admitted before, if there is something for it by now.
@@ -181,12 +181,12 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	a, g := t.account(w, r, now)
-	held := a.held(g, now)
-	if admitted = a.takeOne(g, held, now); admitted {
+	available := a.available(g, now)
+	if admitted = a.takeOne(g, available, now); admitted {
 		a.used++
 		return true, nil
 	}
-	return false, t.question(w, a, false, held, now)
+	return false, t.loanRequest(w, a, false, available, now)
 }
 
 // Refused counts a request that was not admitted, and returns when the node will have a part for one, and for those
@@ -197,7 +197,7 @@
 	now := t.clock.Now()
 	a, g := t.account(w, r, now)
 	a.refused++
-	return a.ledger.after(g, now)
+	return a.ledger.waitTime(g, now)
 }
 
 // Return gives back what was taken at that time for a request that did not run.
@@ -206,21 +206,21 @@
 	defer t.mu.Unlock()
 	if a := t.accounts[w]; a != nil && a.used > 0 {
 		a.used--
-		a.ledger.giveBack(at)
+		a.ledger.refund(at)
 	}
 }
 
-// question says what to ask others for, if the node lacks what a request needs or runs short of its usual work, and may
+// loanRequest says what to ask others for, if the node lacks what a request needs or runs short of its usual work, and may
 // ask now.
-func (t *Table) question(w ident.Workspace, a *account, admitted bool, held float64, now clock.Millis) *Question {
-	want := 1 + a.soon(askFor)
-	if admitted && held >= want/2 || now < a.askAt {
+func (t *Table) loanRequest(w ident.Workspace, a *account, admitted bool, available float64, now clock.Millis) *Question {
+	want := 1 + a.expected(loanSpan)
+	if admitted && available >= want/2 || now < a.nextAskAt {
 		return nil
 	}
 	a.seq++
 	a.lenders = nil
-	a.asked, a.askAt = now, now+a.pause
-	a.pause = min(2*a.pause, askPauseMost)
+	a.askedAt, a.nextAskAt = now, now+a.askInterval
+	a.askInterval = min(2*a.askInterval, maxAskInterval)
 	return &Question{Workspace: w, Amount: want * askShare, Seq: a.seq}
 }
 
@@ -229,7 +229,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.accounts[w]
-	return a != nil && a.seq > 0 && t.clock.Now()-a.asked < within
+	return a != nil && a.seq > 0 && t.clock.Now()-a.askedAt < within
 }
 
 // Lend hands over up to so much to another node, and keeps what this one is about to need.
@@ -238,12 +238,12 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	a, g := t.account(w, r, now)
-	a.learn(now)
-	given := min(amount, a.ledger.level(g, now)-a.keep())
-	if !(given > smallest) {
+	a.decayDemand(now)
+	given := min(amount, a.ledger.balance(g, now)-a.reserve())
+	if !(given > minLoan) {
 		return 0
 	}
-	a.ledger.take(g, given, now+lentFor)
+	a.ledger.debit(g, given, now+loanTTL)
 	return given
 }
 
@@ -253,15 +253,15 @@
 	defer t.mu.Unlock()
 	a := t.accounts[w]
 	now := t.clock.Now()
-	if a == nil || seq != a.seq || now-a.asked >= lentFor || !(amount > 0) || slices.Contains(a.lenders, from) {
+	if a == nil || seq != a.seq || now-a.askedAt >= loanTTL || !(amount > 0) || slices.Contains(a.lenders, from) {
 		return // whoever lent it has less, and nobody has more
 	}
 	a.lenders = append(a.lenders, from)
-	if rest := a.ledger.gain(t.grant(a.rate), amount, now); rest > 0 {
-		a.lapse(now)
-		a.loans = append(a.loans, loan{amount: rest, until: a.asked + lentFor})
+	if rest := a.ledger.credit(t.grant(a.rate), amount, now); rest > 0 {
+		a.dropExpired(now)
+		a.loans = append(a.loans, loan{amount: rest, expiresAt: a.askedAt + loanTTL})
 	}
-	a.pause, a.askAt = askPause, a.asked+askPause
+	a.askInterval, a.nextAskAt = minAskInterval, a.askedAt+minAskInterval
 }
 
 // A Use struct is what a workspace made of its limit on this node.
@@ -280,7 +280,7 @@
 	now := t.clock.Now()
 	list := make([]Use, 0, len(t.accounts))
 	for w, a := range t.accounts {
-		list = append(list, Use{Workspace: w, Rate: a.rate, Used: a.used, Refused: a.refused, Held: a.held(t.grant(a.rate), now)})
+		list = append(list, Use{Workspace: w, Rate: a.rate, Used: a.used, Refused: a.refused, Held: a.available(t.grant(a.rate), now)})
 	}
 	slices.SortFunc(list, func(a, b Use) int {
 		return cmp.Or(cmp.Compare(b.Used+b.Refused, a.Used+a.Refused), cmp.Compare(a.Workspace, b.Workspace))
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -12,15 +12,15 @@
 )
 
 var (
-	bounds = limit.Bounds{Window: 5 * clock.Second, Overshoot: 0.1, Slack: 20}
-	alone  = limit.View{Carries: true, Carriers: 1, Live: 1, Known: 1}
+	bounds     = limit.Bounds{Window: 5 * clock.Second, Overshoot: 0.1, Slack: 20}
+	singleNode = limit.View{Carries: true, Carriers: 1, Live: 1, Known: 1}
 )
 
-// lone returns a table of a node that is the whole fleet, and has long been.
-func lone(c *clock.Manual) *limit.Table {
+// singleNodeTable returns a table of a node that is the whole fleet, and has long been.
+func singleNodeTable(c *clock.Manual) *limit.Table {
 	t := limit.New(c, bounds)
 	for range 100 {
-		t.Tick(alone)
+		t.Tick(singleNode)
 		c.Advance(100)
 	}
 	return t
@@ -80,7 +80,7 @@
 		{"just started", limit.View{Carries: true, Carriers: 2, Live: 5, Known: 5, Young: true}, 0, 1.0 / 16},
 		{"started, and met most that were named", limit.View{Carries: true, Carriers: 4, Live: 30, Known: 30, Named: 3, Met: 2}, 0, 1.0 / 4},
 		{"started, and met few that were named", limit.View{Carries: true, Carriers: 4, Live: 30, Known: 30, Named: 3, Met: 1}, 0, 0},
-		{"the whole fleet", alone, 0, 1},
+		{"the whole fleet", singleNode, 0, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,13 +109,13 @@
 func TestStandstillIsNoSaving(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
-	table := lone(c)
+	table := singleNodeTable(c)
 	r := limit.Rate{PerSecond: 10, Burst: 10}
 	for ok := true; ok; {
 		ok, _ = table.Take("w", r)
 	}
 	c.Advance(10 * clock.Second)
-	table.Tick(alone)
+	table.Tick(singleNode)
 	ok, _ := table.Take("w", r)
 	is.True(!ok) // others may have been given its part
 }
@@ -126,7 +126,7 @@
 func TestStandstillIsNoSavingBeforeTheNextTick(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
-	table := lone(c)
+	table := singleNodeTable(c)
 	r := limit.Rate{PerSecond: 10, Burst: 10}
 	c.Advance(4 * clock.Second)
 	ok, q := table.Take("w", r)
@@ -164,7 +164,7 @@
 func TestLateLoanIsLost(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
-	table := lone(c)
+	table := singleNodeTable(c)
 	r := limit.Rate{PerSecond: 0.01, Burst: 0}
 	var q *limit.Question
 	for ok := true; ok; {
@@ -183,7 +183,7 @@
 func TestReturnedRequestsCountAgain(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
-	table := lone(c)
+	table := singleNodeTable(c)
 	r := limit.Rate{PerSecond: 1, Burst: 0}
 	taken := 0
 	for ok := true; ok; {
@@ -202,7 +202,7 @@
 func TestManyWorkspacesAsk(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
-	table := lone(c)
+	table := singleNodeTable(c)
 	r := limit.Rate{PerSecond: 1, Burst: 1}
 	ask := func(from, to int) (refused int) {
 		for i := from; i < to; i++ {
@@ -215,7 +215,7 @@
 	is.Equal(ask(0, 1<<14-1), 0)
 	for range 80 {
 		c.Advance(100)
-		table.Tick(alone)
+		table.Tick(singleNode)
 	}
 	for ok := true; ok; {
 		ok, _ = table.Take("greedy", r)
@@ -228,7 +228,7 @@
 // BenchmarkTake has many workspaces ask in turn: 0.32 us a request on a busy machine, and nothing is allocated.
 func BenchmarkTake(b *testing.B) {
 	c := clock.NewManual(50_000)
-	table := lone(c)
+	table := singleNodeTable(c)
 	names := make([]ident.Workspace, 1000)
 	for i := range names {
 		names[i] = ident.Workspace(fmt.Sprint("w", i))
--- a/limit/walk_test.go
+++ b/limit/walk_test.go
@@ -22,7 +22,7 @@
 		for range rapid.IntRange(1, 14).Draw(t, "steps") {
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
 			case 0:
-				f.cut(rapid.IntRange(0, nodes).Draw(t, "cut"))
+				f.partition(rapid.IntRange(0, nodes).Draw(t, "cut"))
 			case 1:
 				n := f.nodes[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 				if n.down = !n.down; !n.down {
@@ -30,9 +30,9 @@
 				}
 			case 2:
 				n := f.nodes[rapid.IntRange(0, nodes-1).Draw(t, "node")]
-				n.stopped = !n.stopped
+				n.paused = !n.paused
 			case 3:
-				f.lost = rapid.Float64Range(0, 0.5).Draw(t, "lost")
+				f.lossRate = rapid.Float64Range(0, 0.5).Draw(t, "lost")
 			case 4:
 				if len(killed) < 2 || f.clock.Now()-killed[len(killed)-2] > window {
 					killed = append(killed, f.clock.Now())
@@ -41,7 +41,7 @@
 			case 5:
 				f.carriers = rapid.IntRange(1, min(nodes, 8)).Draw(t, "carriers")
 			case 6:
-				f.doubt(rapid.Float64Range(0, 0.5).Draw(t, "doubts"))
+				f.suspectAtRandom(rapid.Float64Range(0, 0.5).Draw(t, "doubts"))
 			default:
 			}
 			first, last := rapid.IntRange(0, nodes-1).Draw(t, "first"), rapid.IntRange(0, nodes-1).Draw(t, "last")
@@ -123,10 +123,10 @@
 // that rule both would, and 1,025 requests would run where 654 are allowed.
 func TestFleetThatStartsInACut(t *testing.T) {
 	f := newFleet(t, 30, 6, true, 1)
-	f.run(10*clock.Second, rates, f.usual(0.1))
-	f.cut(15)
+	f.run(10*clock.Second, rates, f.evenLoad(0.1))
+	f.partition(15)
 	f.killAll(500)
-	f.run(12*clock.Second, rates, f.everywhere(8))
+	f.run(12*clock.Second, rates, f.loadOnAll(8))
 	f.check("started in a cut")
 }
 
@@ -135,13 +135,13 @@
 // 5 s where 654 are allowed.
 func TestFleetThatComesBackFromACut(t *testing.T) {
 	f := newFleet(t, 5, 4, true, 0)
-	f.run(800, rates, f.everywhere(0))
+	f.run(800, rates, f.loadOnAll(0))
 	f.nodes[4].down = true
-	f.run(5700, rates, f.everywhere(0))
-	f.cut(2)
-	f.run(4600, rates, f.everywhere(0))
-	f.cut(4)
-	f.run(5700, rates, f.everywhere(12))
+	f.run(5700, rates, f.loadOnAll(0))
+	f.partition(2)
+	f.run(4600, rates, f.loadOnAll(0))
+	f.partition(4)
+	f.run(5700, rates, f.loadOnAll(12))
 	f.check("back from a cut")
 }
 
@@ -158,9 +158,9 @@
 			return times * rates[w].PerSecond / float64(last-first+1)
 		}
 	}
-	f.cut(7)
+	f.partition(7)
 	f.run(1200, rates, flood(2, 9, 8))
-	f.cut(3)
+	f.partition(3)
 	f.run(6*clock.Second, rates, flood(0, 12, 2))
 	f.check("a cut that moves")
 }
@@ -176,11 +176,11 @@
 				for _, after := range []clock.Millis{300, 1200} {
 					t.Run(fmt.Sprint(from, " to ", to, " after ", after, ", noticed after ", notices), func(t *testing.T) {
 						f := newFleet(t, nodes, 7, true, 9)
-						f.notices = notices
-						f.cut(from)
-						f.run(after, rates, f.everywhere(flood))
-						f.cut(to)
-						f.run(5*clock.Second, rates, f.everywhere(flood))
+						f.detectionDelay = notices
+						f.partition(from)
+						f.run(after, rates, f.loadOnAll(flood))
+						f.partition(to)
+						f.run(5*clock.Second, rates, f.loadOnAll(flood))
 						f.check("moves")
 					})
 				}
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -38,7 +38,7 @@
 	running state = iota
 	answered
 	voided
-	unsure
+	unknown
 )
 
 type entry struct {
@@ -47,8 +47,8 @@
 	answer      *Answer
 }
 
-// name is a key within its slice.
-type name struct {
+// entryKey is a key within its slice.
+type entryKey struct {
 	workspace ident.Workspace
 	suffix    string
 }
@@ -56,7 +56,7 @@
 type slice struct {
 	id      string
 	opened  clock.Millis
-	entries map[name]*entry
+	entries map[entryKey]*entry
 	// closed workspaces get no further keys of the slice run.
 	closed map[ident.Workspace]bool
 	bytes  int
@@ -70,24 +70,24 @@
 	clock  clock.Clock
 	rand   *rand.Rand
 
-	mu     sync.Mutex
-	slices []*slice
-	count  uint64
-	keys   int
-	bytes  int
-	used   map[ident.Workspace]int
+	mu              sync.Mutex
+	slices          []*slice
+	sliceCount      uint64
+	keys            int
+	bytes           int
+	keysByWorkspace map[ident.Workspace]int
 }
 
 // NewLedger returns an empty ledger. The random numbers keep callers from guessing slices.
 func NewLedger(self ident.Process, l Limits, c clock.Clock, r *rand.Rand) *Ledger {
-	return &Ledger{self: self, limits: l, clock: c, rand: r, used: map[ident.Workspace]int{}}
+	return &Ledger{self: self, limits: l, clock: c, rand: r, keysByWorkspace: map[ident.Workspace]int{}}
 }
 
 // Prefix returns the prefix to hand out now.
 func (l *Ledger) Prefix() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Prefix(l.self, l.current().id)
+	return Prefix(l.self, l.currentSlice().id)
 }
 
 // Keys returns how many keys are kept.
@@ -97,18 +97,18 @@
 	return l.keys
 }
 
-// current drops slices that have ended, and returns the one whose prefix is handed out.
-func (l *Ledger) current() *slice {
+// currentSlice drops slices that have ended, and returns the one whose prefix is handed out.
+func (l *Ledger) currentSlice() *slice {
 	now := l.clock.Now()
 	l.expire(now)
 	if n := len(l.slices); n > 0 && now-l.slices[n-1].opened < l.limits.SliceFor {
 		return l.slices[n-1]
 	}
-	l.count++
+	l.sliceCount++
 	s := &slice{
-		id:      fmt.Sprintf("%d-%x", l.count, l.rand.Uint64()),
+		id:      fmt.Sprintf("%d-%x", l.sliceCount, l.rand.Uint64()),
 		opened:  now,
-		entries: map[name]*entry{},
+		entries: map[entryKey]*entry{},
 		closed:  map[ident.Workspace]bool{},
 	}
 	l.slices = append(l.slices, s)
@@ -117,24 +117,24 @@
 
 func (l *Ledger) expire(now clock.Millis) {
 	for len(l.slices) > 0 && now-l.slices[0].opened >= l.limits.SliceFor+l.limits.KeepFor {
-		l.drop(l.slices[0])
+		l.dropSlice(l.slices[0])
 		l.slices = l.slices[1:]
 	}
 }
 
-func (l *Ledger) drop(s *slice) {
+func (l *Ledger) dropSlice(s *slice) {
 	for n := range s.entries {
 		l.keys--
-		l.used[n.workspace]--
-		if l.used[n.workspace] == 0 {
-			delete(l.used, n.workspace)
+		l.keysByWorkspace[n.workspace]--
+		if l.keysByWorkspace[n.workspace] == 0 {
+			delete(l.keysByWorkspace, n.workspace)
 		}
 	}
 	l.bytes -= s.bytes
 	s.entries = nil
 }
 
-func (l *Ledger) find(id string) *slice {
+func (l *Ledger) findSlice(id string) *slice {
 	for _, s := range l.slices {
 		if s.id == id {
 			return s
@@ -152,29 +152,29 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(l.clock.Now())
-	s := l.find(k.Slice)
+	s := l.findSlice(k.Slice)
 	if s == nil {
 		return Unknown{Reason: "the key's time slice has ended"}
 	}
-	n := name{workspace: w, suffix: k.Suffix}
+	n := entryKey{workspace: w, suffix: k.Suffix}
 	if e, found := s.entries[n]; found {
 		return e.decide(fingerprint)
 	}
-	if s.closed[w] || !l.room(w) {
+	if s.closed[w] || !l.hasRoom(w) {
 		s.closed[w] = true
 		return NotRun{Reason: "too many keys; ask for a new prefix"}
 	}
 	e := &entry{fingerprint: fingerprint}
 	s.entries[n] = e
 	l.keys++
-	l.used[w]++
+	l.keysByWorkspace[w]++
 	return Run{Ticket: &Ticket{ledger: l, slice: s, entry: e}}
 }
 
-// room says whether the workspace may have one more key: no more than what is still free. One
+// hasRoom says whether the workspace may have one more key: no more than what is still free. One
 // workspace alone gets half; later ones always find some.
-func (l *Ledger) room(w ident.Workspace) bool {
-	return l.used[w] < l.limits.Keys-l.keys
+func (l *Ledger) hasRoom(w ident.Workspace) bool {
+	return l.keysByWorkspace[w] < l.limits.Keys-l.keys
 }
 
 func (e *entry) decide(fingerprint uint64) Decision {
@@ -212,7 +212,7 @@
 
 // Unsure records that nobody knows whether the request ran.
 func (t *Ticket) Unsure() {
-	t.end(unsure, nil)
+	t.end(unknown, nil)
 }
 
 func (t *Ticket) end(s state, a *Answer) {
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// fate is what the oracle knows of one key: the simplest statement of the promise.
-type fate struct {
+// outcome is what the oracle knows of one key: the simplest statement of the promise.
+type outcome struct {
 	runs       int
 	toldNotRun bool
 }
@@ -92,7 +92,7 @@
 // run is one ticket given out.
 type run struct {
 	ticket *once.Ticket
-	fate   *fate
+	fate   *outcome
 	ended  bool
 }
 
@@ -104,14 +104,14 @@
 		inc := ident.Incarnation(1)
 		ledger := newLedger(c, inc)
 		old := []*once.Ledger{}
-		fates := map[string]*fate{}
+		fates := map[string]*outcome{}
 		var tickets []*run
 		var prefixes []string
 
 		check := func(k string, d once.Decision) {
 			f := fates[k]
 			if f == nil {
-				f = &fate{}
+				f = &outcome{}
 				fates[k] = f
 			}
 			switch d := d.(type) {
