--- a/access/access.go
+++ b/access/access.go
@@ -34,9 +34,9 @@
 // A Workspace struct is one customer: in whose name requests run, how urgent they are, and how many there may be.
 type Workspace struct {
 	Name ident.Workspace
-	// Rank says who waits when there is too much work; 0 goes first.
-	Rank uint32
-	Rate limit.Rate
+	// Priority says who waits when there is too much work; 0 goes first.
+	Priority uint32
+	Rate     limit.Rate
 	// Regions are the only ones that may serve its requests; empty stands for all.
 	Regions []ident.Region
 	// Fault says why the workspace cannot be used.
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -15,7 +15,7 @@
 func directory(t testing.TB) *access.Directory {
 	d := access.NewDirectory()
 	for _, name := range []ident.Workspace{"shops", "couriers"} {
-		if err := d.Add(access.Workspace{Name: name, Rank: 1}, []access.Digest{access.DigestOf("key-of-" + string(name))}); err != nil {
+		if err := d.Add(access.Workspace{Name: name, Priority: 1}, []access.Digest{access.DigestOf("key-of-" + string(name))}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/desired/desired.go
+++ b/desired/desired.go
@@ -145,7 +145,7 @@
 			}
 		}
 		err := t.Access.Add(access.Workspace{
-			Name: ident.Workspace(w.GetName()), Rank: w.GetRank(), Fault: w.GetFault(),
+			Name: ident.Workspace(w.GetName()), Priority: w.GetRank(), Fault: w.GetFault(),
 			Rate: limit.Rate{PerSecond: w.GetPerSecond(), Burst: w.GetBurst()}, Regions: regions(w.GetRegions()),
 		}, keys)
 		if err != nil {
--- a/example_test.go
+++ b/example_test.go
@@ -29,7 +29,7 @@
 	limits := limit.New(c, limit.Bounds{Window: 10 * clock.Second})
 	for range 6 {
 		c.Advance(100)
-		limits.Tick(limit.View{Carries: true, Carriers: 1, Live: 1, Known: 1}) // alone, it has the whole limit, which fills
+		limits.Tick(limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1}) // alone, it has the whole limit, which fills
 		if admitted, _ := limits.Take("shop", limit.Rate{PerSecond: 7, Burst: 2}); !admitted {
 			fmt.Println("the shop has reached its limit")
 			continue
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -63,7 +63,7 @@
 type message struct {
 	at       clock.Millis
 	from, to int
-	ask      *limit.Question
+	ask      *limit.LoanRequest
 	lent     float64
 	seq      uint64
 	w        ident.Workspace
@@ -116,7 +116,7 @@
 
 // view is what a node sees, and who carries by it: the first ones that it hears.
 func (f *fleet) view(n *node) limit.View {
-	v := limit.View{Carriers: 0}
+	v := limit.View{SharerCount: 0}
 	fresh := true
 	now := f.clock.Now()
 	for _, m := range f.nodes {
@@ -127,25 +127,25 @@
 		if f.connected(n, m) {
 			n.known = max(n.known, m.known) // nodes tell each other when they meet
 		}
-		if v.Carriers < f.carriers && n.suspectedUntil[m] <= now {
-			v.Carriers++
-			v.Sharing = append(v.Sharing, ident.Node(fmt.Sprint(m.id)))
-			v.Carries = v.Carries || m == n
+		if v.SharerCount < f.carriers && n.suspectedUntil[m] <= now {
+			v.SharerCount++
+			v.Sharers = append(v.Sharers, ident.Node(fmt.Sprint(m.id)))
+			v.IsSharer = v.IsSharer || m == n
 		}
 		fresh = fresh && max(m.startedAt-n.startedAt, n.startedAt-m.startedAt) < 3*clock.Second
 	}
 	n.known = max(n.known, v.Live)
 	for _, i := range slices.Compact([]int{0, len(f.nodes) / 2, len(f.nodes) - 1}) { // named in the settings
-		v.Named++
+		v.Seeds++
 		if f.considersReachable(n, f.nodes[i]) {
-			v.Met++
+			v.SeedsReached++
 		}
 	}
-	if n.reachedAllSeeds = n.reachedAllSeeds || v.MetAll(); n.reachedAllSeeds {
-		v.Named, v.Met = 0, 0
+	if n.reachedAllSeeds = n.reachedAllSeeds || v.ReachedAllSeeds(); n.reachedAllSeeds {
+		v.Seeds, v.SeedsReached = 0, 0
 	}
-	v.Known, v.Young = n.known, now-n.startedAt < 500
-	v.Fresh = fresh && now-n.startedAt < 2*clock.Second
+	v.PeakLive, v.JustStarted = n.known, now-n.startedAt < 500
+	v.ColdStart = fresh && now-n.startedAt < 2*clock.Second
 	return v
 }
 
@@ -194,7 +194,7 @@
 	waiting := f.waiting
 	f.waiting = nil
 	for _, x := range waiting {
-		admitted, q := x.node.table.Again(x.w, rates[x.w])
+		admitted, q := x.node.table.Retry(x.w, rates[x.w])
 		if q != nil {
 			f.ask(x.node, q)
 		}
@@ -216,7 +216,7 @@
 	until clock.Millis
 }
 
-func (f *fleet) ask(n *node, q *limit.Question) {
+func (f *fleet) ask(n *node, q *limit.LoanRequest) {
 	for _, m := range f.nodes[:f.carriers] {
 		if m != n {
 			f.send(message{from: n.id, to: m.id, ask: q})
@@ -248,7 +248,7 @@
 				f.send(message{from: m.to, to: m.from, lent: lent, seq: m.ask.Seq, w: m.ask.Workspace})
 			}
 		default:
-			to.table.Borrowed(m.w, ident.Node(fmt.Sprint(m.from)), m.lent, m.seq)
+			to.table.AddLoan(m.w, ident.Node(fmt.Sprint(m.from)), m.lent, m.seq)
 		}
 	}
 }
--- a/limit/table.go
+++ b/limit/table.go
@@ -66,7 +66,7 @@
 	previous := t.currentShare()
 	t.nominalShare = v.withSettledSharers(t.sharers, now).Share(t.nominalShare)
 	share = t.nominalShare * t.seedContact.fraction(v, now)
-	switch coldStart := v.Fresh && len(t.allocations) == 1 && t.allocations[0].at == t.startedAt && now-t.tickedAt <= maxTickGap; {
+	switch coldStart := v.ColdStart && len(t.allocations) == 1 && t.allocations[0].at == t.startedAt && now-t.tickedAt <= maxTickGap; {
 	case coldStart:
 		t.allocations, t.coldStart = append(t.allocations[:0], allocation{at: t.startedAt, share: share}), true
 	case share != previous:
@@ -152,8 +152,8 @@
 	t.allocations, t.coldStart = []allocation{{at: now, share: t.currentShare()}}, false
 }
 
-// A Question struct is what to ask other nodes for.
-type Question struct {
+// A LoanRequest struct is what to ask other nodes for.
+type LoanRequest struct {
 	Workspace ident.Workspace
 	Amount    float64
 	Seq       uint64
@@ -161,7 +161,7 @@
 
 // Take admits one request if the node has a part of the limit left for it. It may say what to ask others for, also
 // when the request is admitted: before the node runs out.
-func (t *Table) Take(w ident.Workspace, r Rate) (admitted bool, q *Question) {
+func (t *Table) Take(w ident.Workspace, r Rate) (admitted bool, q *LoanRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -175,8 +175,8 @@
 	return admitted, t.loanRequest(w, a, admitted, available, now)
 }
 
-// Again admits a request that was not admitted before, if there is something for it by now.
-func (t *Table) Again(w ident.Workspace, r Rate) (admitted bool, q *Question) {
+// Retry admits a request that was not admitted before, if there is something for it by now.
+func (t *Table) Retry(w ident.Workspace, r Rate) (admitted bool, q *LoanRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -189,9 +189,9 @@
 	return false, t.loanRequest(w, a, false, available, now)
 }
 
-// Refused counts a request that was not admitted, and returns when the node will have a part for one, and for those
+// Refuse counts a request that was not admitted, and returns when the node will have a part for one, and for those
 // that were refused before it.
-func (t *Table) Refused(w ident.Workspace, r Rate) clock.Millis {
+func (t *Table) Refuse(w ident.Workspace, r Rate) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -200,8 +200,8 @@
 	return a.ledger.waitTime(g, now)
 }
 
-// Return gives back what was taken at that time for a request that did not run.
-func (t *Table) Return(w ident.Workspace, at clock.Millis) {
+// Refund gives back what was taken at that time for a request that did not run.
+func (t *Table) Refund(w ident.Workspace, at clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a := t.accounts[w]; a != nil && a.used > 0 {
@@ -212,7 +212,7 @@
 
 // loanRequest says what to ask others for, if the node lacks what a request needs or runs short of its usual work, and may
 // ask now.
-func (t *Table) loanRequest(w ident.Workspace, a *account, admitted bool, available float64, now clock.Millis) *Question {
+func (t *Table) loanRequest(w ident.Workspace, a *account, admitted bool, available float64, now clock.Millis) *LoanRequest {
 	want := 1 + a.expected(loanSpan)
 	if admitted && available >= want/2 || now < a.nextAskAt {
 		return nil
@@ -221,11 +221,11 @@
 	a.lenders = nil
 	a.askedAt, a.nextAskAt = now, now+a.askInterval
 	a.askInterval = min(2*a.askInterval, maxAskInterval)
-	return &Question{Workspace: w, Amount: want * askShare, Seq: a.seq}
+	return &LoanRequest{Workspace: w, Amount: want * askShare, Seq: a.seq}
 }
 
-// Asking says whether an answer to the last question may still come and be used.
-func (t *Table) Asking(w ident.Workspace, within clock.Millis) bool {
+// LoanPending says whether an answer to the last question may still come and be used.
+func (t *Table) LoanPending(w ident.Workspace, within clock.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.accounts[w]
@@ -247,8 +247,8 @@
 	return given
 }
 
-// Borrowed takes in what another node handed over for a question, once.
-func (t *Table) Borrowed(w ident.Workspace, from ident.Node, amount float64, seq uint64) {
+// AddLoan takes in what another node handed over for a question, once.
+func (t *Table) AddLoan(w ident.Workspace, from ident.Node, amount float64, seq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.accounts[w]
@@ -264,25 +264,25 @@
 	a.askInterval, a.nextAskAt = minAskInterval, a.askedAt+minAskInterval
 }
 
-// A Use struct is what a workspace made of its limit on this node.
-type Use struct {
+// A Usage struct is what a workspace made of its limit on this node.
+type Usage struct {
 	Workspace     ident.Workspace
 	Rate          Rate
 	Used, Refused uint64
-	// Held is what the node may still admit now.
-	Held float64
+	// Available is what the node may still admit now.
+	Available float64
 }
 
-// Uses returns what the workspaces made of their limits, the ones with the most requests first.
-func (t *Table) Uses() []Use {
+// Usage returns what the workspaces made of their limits, the ones with the most requests first.
+func (t *Table) Usage() []Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	list := make([]Use, 0, len(t.accounts))
+	list := make([]Usage, 0, len(t.accounts))
 	for w, a := range t.accounts {
-		list = append(list, Use{Workspace: w, Rate: a.rate, Used: a.used, Refused: a.refused, Held: a.available(t.grant(a.rate), now)})
+		list = append(list, Usage{Workspace: w, Rate: a.rate, Used: a.used, Refused: a.refused, Available: a.available(t.grant(a.rate), now)})
 	}
-	slices.SortFunc(list, func(a, b Use) int {
+	slices.SortFunc(list, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(b.Used+b.Refused, a.Used+a.Refused), cmp.Compare(a.Workspace, b.Workspace))
 	})
 	return list
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -13,7 +13,7 @@
 
 var (
 	bounds     = limit.Bounds{Window: 5 * clock.Second, Overshoot: 0.1, Slack: 20}
-	singleNode = limit.View{Carries: true, Carriers: 1, Live: 1, Known: 1}
+	singleNode = limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1}
 )
 
 // singleNodeTable returns a table of a node that is the whole fleet, and has long been.
@@ -41,7 +41,7 @@
 			case 0:
 				c.Advance(clock.Millis(rapid.IntRange(0, 2000).Draw(t, "ms")))
 			case 1:
-				table.Tick(limit.View{Carries: rapid.Bool().Draw(t, "carries"), Carriers: 1, Live: 1, Known: rapid.IntRange(1, 3).Draw(t, "known")})
+				table.Tick(limit.View{IsSharer: rapid.Bool().Draw(t, "carries"), SharerCount: 1, Live: 1, PeakLive: rapid.IntRange(1, 3).Draw(t, "known")})
 			case 2:
 				table.Lend("w", r, 5)
 			default:
@@ -71,15 +71,15 @@
 		held float64
 		want float64
 	}{
-		{"one of six", limit.View{Carries: true, Carriers: 6, Live: 97, Known: 97}, 0, 1.0 / 6},
-		{"no carrier", limit.View{Carriers: 6, Live: 97, Known: 97}, 0.2, 0},
-		{"most still heard", limit.View{Carries: true, Carriers: 5, Live: 60, Known: 97}, 1.0 / 6, 1.0 / 5},
-		{"half heard keeps what it had", limit.View{Carries: true, Carriers: 3, Live: 49, Known: 97}, 1.0 / 6, 1.0 / 6},
-		{"few heard has none", limit.View{Carries: true, Carriers: 2, Live: 30, Known: 97}, 1.0 / 6, 0},
-		{"never met anybody", limit.View{Carries: true, Carriers: 1, Live: 1, Known: 1, Alone: true}, 0, 0},
-		{"just started", limit.View{Carries: true, Carriers: 2, Live: 5, Known: 5, Young: true}, 0, 1.0 / 16},
-		{"started, and met most that were named", limit.View{Carries: true, Carriers: 4, Live: 30, Known: 30, Named: 3, Met: 2}, 0, 1.0 / 4},
-		{"started, and met few that were named", limit.View{Carries: true, Carriers: 4, Live: 30, Known: 30, Named: 3, Met: 1}, 0, 0},
+		{"one of six", limit.View{IsSharer: true, SharerCount: 6, Live: 97, PeakLive: 97}, 0, 1.0 / 6},
+		{"no carrier", limit.View{SharerCount: 6, Live: 97, PeakLive: 97}, 0.2, 0},
+		{"most still heard", limit.View{IsSharer: true, SharerCount: 5, Live: 60, PeakLive: 97}, 1.0 / 6, 1.0 / 5},
+		{"half heard keeps what it had", limit.View{IsSharer: true, SharerCount: 3, Live: 49, PeakLive: 97}, 1.0 / 6, 1.0 / 6},
+		{"few heard has none", limit.View{IsSharer: true, SharerCount: 2, Live: 30, PeakLive: 97}, 1.0 / 6, 0},
+		{"never met anybody", limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1, Isolated: true}, 0, 0},
+		{"just started", limit.View{IsSharer: true, SharerCount: 2, Live: 5, PeakLive: 5, JustStarted: true}, 0, 1.0 / 16},
+		{"started, and met most that were named", limit.View{IsSharer: true, SharerCount: 4, Live: 30, PeakLive: 30, Seeds: 3, SeedsReached: 2}, 0, 1.0 / 4},
+		{"started, and met few that were named", limit.View{IsSharer: true, SharerCount: 4, Live: 30, PeakLive: 30, Seeds: 3, SeedsReached: 1}, 0, 0},
 		{"the whole fleet", singleNode, 0, 1},
 	}
 	for _, c := range cases {
@@ -96,11 +96,11 @@
 	is := is.New(t)
 	c := clock.NewManual(50_000)
 	table := limit.New(c, bounds)
-	v := limit.View{Carries: true, Carriers: 3, Sharing: []ident.Node{"a", "b", "c"}, Live: 31, Known: 31, Young: true}
+	v := limit.View{IsSharer: true, SharerCount: 3, Sharers: []ident.Node{"a", "b", "c"}, Live: 31, PeakLive: 31, JustStarted: true}
 	share, _ := table.Tick(v)
 	is.Equal(share, 1.0/16)
 	c.Advance(400)
-	v.Young = false
+	v.JustStarted = false
 	share, _ = table.Tick(v)
 	is.Equal(share, 1.0/3)
 }
@@ -130,10 +130,10 @@
 	r := limit.Rate{PerSecond: 10, Burst: 10}
 	c.Advance(4 * clock.Second)
 	ok, q := table.Take("w", r)
-	is.True(!ok)                                  // others may have been given its part
-	is.Equal(table.Lend("w", r, 5), 0.0)          // nor is that lent
-	table.Borrowed("w", "n1", 1.5, max(q.Seq, 1)) // what was asked for after it woke is good
-	ok, _ = table.Again("w", r)
+	is.True(!ok)                                 // others may have been given its part
+	is.Equal(table.Lend("w", r, 5), 0.0)         // nor is that lent
+	table.AddLoan("w", "n1", 1.5, max(q.Seq, 1)) // what was asked for after it woke is good
+	ok, _ = table.Retry("w", r)
 	is.True(ok)
 }
 
@@ -146,17 +146,17 @@
 	ok, q := table.Take("w", r)
 	is.True(!ok)
 	is.True(q != nil)
-	table.Borrowed("w", "n1", 1.5, q.Seq)
-	table.Borrowed("w", "n1", 1.5, q.Seq) // the same again
-	ok, _ = table.Again("w", r)
+	table.AddLoan("w", "n1", 1.5, q.Seq)
+	table.AddLoan("w", "n1", 1.5, q.Seq) // the same again
+	ok, _ = table.Retry("w", r)
 	is.True(ok)
-	ok, _ = table.Again("w", r)
+	ok, _ = table.Retry("w", r)
 	is.True(!ok)
 	c.Advance(100)
 	_, q = table.Take("w", r)
 	c.Advance(500)
-	table.Borrowed("w", "n1", 5, q.Seq) // too late
-	ok, _ = table.Again("w", r)
+	table.AddLoan("w", "n1", 5, q.Seq) // too late
+	ok, _ = table.Retry("w", r)
 	is.True(!ok)
 }
 
@@ -166,16 +166,16 @@
 	c := clock.NewManual(50_000)
 	table := singleNodeTable(c)
 	r := limit.Rate{PerSecond: 0.01, Burst: 0}
-	var q *limit.Question
+	var q *limit.LoanRequest
 	for ok := true; ok; {
-		var next *limit.Question
+		var next *limit.LoanRequest
 		if ok, next = table.Take("w", r); next != nil {
 			q = next
 		}
 	}
 	c.Advance(600)
-	table.Borrowed("w", "n1", 5, q.Seq)
-	ok, _ := table.Again("w", r)
+	table.AddLoan("w", "n1", 5, q.Seq)
+	ok, _ := table.Retry("w", r)
 	is.True(!ok)
 }
 
@@ -192,7 +192,7 @@
 		}
 	}
 	is.True(taken > 0)
-	table.Return("w", c.Now())
+	table.Refund("w", c.Now())
 	ok, _ := table.Take("w", r)
 	is.True(ok)
 }
--- a/limit/walk_test.go
+++ b/limit/walk_test.go
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(50_000)
 		r := limit.Rate{PerSecond: rapid.Float64Range(0.1, 100).Draw(t, "rate"), Burst: rapid.Float64Range(0, 100).Draw(t, "burst")}
-		half := limit.View{Carries: true, Carriers: 2, Live: 2, Known: 2}
+		half := limit.View{IsSharer: true, SharerCount: 2, Live: 2, PeakLive: 2}
 		tables := []*limit.Table{limit.New(c, bounds), limit.New(c, bounds)}
 		var ran, open []clock.Millis
 		var by []*limit.Table
@@ -83,7 +83,7 @@
 				pass(clock.Millis(rapid.IntRange(0, 1500).Draw(t, "ms")))
 			case 1:
 				if len(open) > 0 { // the last one did not run
-					by[len(by)-1].Return("w", open[len(open)-1])
+					by[len(by)-1].Refund("w", open[len(open)-1])
 					open, by = open[:len(open)-1], by[:len(by)-1]
 				}
 			default:
@@ -96,8 +96,8 @@
 						}
 						lent := other.Lend("w", r, rapid.Float64Range(0, 40).Draw(t, "amount"))
 						pass(clock.Millis(rapid.IntRange(0, 400).Draw(t, "way")))
-						table.Borrowed("w", "n", lent, q.Seq)
-						ok, _ = table.Again("w", r)
+						table.AddLoan("w", "n", lent, q.Seq)
+						ok, _ = table.Retry("w", r)
 					}
 					if ok {
 						open, by = append(open, c.Now()), append(by, table)
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -166,7 +166,7 @@
 // rank says who waits when there is too much work: workspaces that have one of their own, before what their routes say.
 func (x *exchange) rank() uint32 {
 	if x.workspace != nil {
-		return x.workspace.Rank
+		return x.workspace.Priority
 	}
 	return x.route.Rank
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -33,7 +33,7 @@
 	// stateAt is when the desired state that is in force came.
 	stateAt *metrics.Counter
 	// uses returns what workspaces made of their limits.
-	uses func() []limit.Use
+	uses func() []limit.Usage
 }
 
 func newMetrics(c clock.Clock) *nodeMetrics {
@@ -73,7 +73,7 @@
 
 // gauges adds what is looked at when the metrics are read.
 func (m *nodeMetrics) gauges(n *Node) {
-	m.uses = n.quotas.table.Uses
+	m.uses = n.quotas.table.Usage
 	sum := func(of func(s pool.Stats) int) func() float64 {
 		return func() float64 {
 			total := 0
@@ -205,8 +205,8 @@
 const workspacesShown = 24
 
 // writeUses writes what workspaces with a limit made of it on this node.
-func writeUses(w io.Writer, uses []limit.Use) {
-	var rest limit.Use
+func writeUses(w io.Writer, uses []limit.Usage) {
+	var rest limit.Usage
 	rest.Workspace = "(others)"
 	for i, u := range uses {
 		if i >= workspacesShown {
@@ -220,7 +220,7 @@
 	}
 }
 
-func writeUse(w io.Writer, u limit.Use) {
+func writeUse(w io.Writer, u limit.Usage) {
 	metrics.WriteCounterUint64(w, fmt.Sprintf(`tinladder_workspace_requests_total{workspace=%q,outcome="used"}`, u.Workspace), u.Used)
 	metrics.WriteCounterUint64(w, fmt.Sprintf(`tinladder_workspace_requests_total{workspace=%q,outcome="refused"}`, u.Workspace), u.Refused)
 	if u.Rate.Bounded() {
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -64,11 +64,11 @@
 // tick follows who shares the limits.
 func (q *quotas) tick() {
 	v := q.view()
-	q.deals.Store(v.Deals())
+	q.deals.Store(v.HasEnoughPeers())
 	if share, changed := q.table.Tick(v); changed {
 		q.node.log.WithFields(logrus.Fields{
-			"event": "limit_share", "share": fmt.Sprintf("%.4f", share), "carriers": v.Carriers, "carries": v.Carries,
-			"live": v.Live, "known": v.Known, "alone": v.Alone, "young": v.Young,
+			"event": "limit_share", "share": fmt.Sprintf("%.4f", share), "carriers": v.SharerCount, "carries": v.IsSharer,
+			"live": v.Live, "known": v.PeakLive, "alone": v.Isolated, "young": v.JustStarted,
 		}).Info()
 	}
 }
@@ -83,12 +83,12 @@
 	started := now-n.duty.since < limitYoung
 	named, met := q.seeds()
 	v := limit.View{
-		Named: named, Met: met,
-		Sharing: nodesOf(sharing), Carries: n.isAmong(sharing),
-		Carriers: len(sharing), Live: live, Known: q.known.see(live, now),
-		Alone: n.peers.lonely() && now-n.duty.since < aloneFor, Young: q.young(), Fresh: started && q.fresh(),
+		Seeds: named, SeedsReached: met,
+		Sharers: nodesOf(sharing), IsSharer: n.isAmong(sharing),
+		SharerCount: len(sharing), Live: live, PeakLive: q.known.see(live, now),
+		Isolated: n.peers.lonely() && now-n.duty.since < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
 	}
-	if v.MetAll() {
+	if v.ReachedAllSeeds() {
 		q.metAll.Store(true)
 	}
 	return v
@@ -141,7 +141,7 @@
 	if admitted || q.waitFor(ctx, w) {
 		return true, 0, false
 	}
-	return false, q.table.Refused(w.Name, w.Rate), q.deals.Load()
+	return false, q.table.Refuse(w.Name, w.Rate), q.deals.Load()
 }
 
 // waitFor waits for what other nodes were asked for, if they were just now. On a process that has just started it
@@ -155,13 +155,13 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		came := q.arrivals()
-		admitted, question := q.table.Again(w.Name, w.Rate)
+		admitted, question := q.table.Retry(w.Name, w.Rate)
 		switch {
 		case admitted:
 			return true
 		case question != nil:
 			q.ask(question)
-		case !q.young() && !q.table.Asking(w.Name, borrowWait):
+		case !q.young() && !q.table.LoanPending(w.Name, borrowWait):
 			return false
 		}
 		select {
@@ -170,7 +170,7 @@
 		case <-time.After(borrowWait.Duration()):
 		}
 	}
-	admitted, _ := q.table.Again(w.Name, w.Rate)
+	admitted, _ := q.table.Retry(w.Name, w.Rate)
 	return admitted
 }
 
@@ -200,7 +200,7 @@
 }
 
 // ask asks those of this hall that share the limit, and some of the other halls by chance.
-func (q *quotas) ask(x *limit.Question) {
+func (q *quotas) ask(x *limit.LoanRequest) {
 	n := q.node
 	var near, far []string
 	for _, m := range n.carriers.sharing() {
@@ -239,7 +239,7 @@
 
 // borrowed takes in what another node hands over.
 func (q *quotas) borrowed(x *tlv1.Lend) {
-	q.table.Borrowed(ident.Workspace(x.GetWorkspace()), ident.Node(x.GetNode()), x.GetAmount(), x.GetSeq())
+	q.table.AddLoan(ident.Workspace(x.GetWorkspace()), ident.Node(x.GetNode()), x.GetAmount(), x.GetSeq())
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	close(q.came)
@@ -257,5 +257,5 @@
 
 // Void implements ticket.
 func (t limitTicket) Void() {
-	t.table.Return(t.workspace, t.at)
+	t.table.Refund(t.workspace, t.at)
 }
--- a/proof/workspaces_test.go
+++ b/proof/workspaces_test.go
@@ -108,7 +108,7 @@
 	t = limit.New(c, limit.Bounds{Window: 5 * clock.Second, Overshoot: 0.1, Slack: 20})
 	pass = func(span clock.Millis) {
 		for ; span > 0; span -= 100 {
-			t.Tick(limit.View{Carries: true, Carriers: 1, Live: 1, Known: 1})
+			t.Tick(limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1})
 			c.Advance(100)
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	tick := func() {
 		for _, table := range tables {
-			table.Tick(limit.View{Carries: true, Carriers: nodes, Live: nodes, Known: nodes})
+			table.Tick(limit.View{IsSharer: true, SharerCount: nodes, Live: nodes, PeakLive: nodes})
 		}
 		c.Advance(100)
 	}
@@ -178,7 +178,7 @@
 				bytes += lendAll(tables, at, q, r)
 			}
 			if !admitted {
-				if admitted, _ = tables[at].Again(w, r); !admitted {
+				if admitted, _ = tables[at].Retry(w, r); !admitted {
 					refused++
 				}
 			}
@@ -189,7 +189,7 @@
 }
 
 // lendAll asks twelve other nodes at the most, as nodes do in three halls of as many, and returns the bytes.
-func lendAll(tables []*limit.Table, at int, q *limit.Question, r limit.Rate) (bytes int) {
+func lendAll(tables []*limit.Table, at int, q *limit.LoanRequest, r limit.Rate) (bytes int) {
 	const most = 12
 	for i := 1; i <= min(len(tables)-1, most); i++ {
 		from := (at + i*max((len(tables)-1)/most, 1)) % len(tables)
@@ -206,7 +206,7 @@
 		bytes += proto.Size(&tlv1.Parcel{Body: &tlv1.Parcel_Lend{Lend: &tlv1.Lend{
 			Node: "front-some-hall-23", Workspace: string(q.Workspace), Amount: lent, Seq: q.Seq,
 		}}})
-		tables[at].Borrowed(q.Workspace, ident.Node(fmt.Sprint(from)), lent, q.Seq)
+		tables[at].AddLoan(q.Workspace, ident.Node(fmt.Sprint(from)), lent, q.Seq)
 	}
 	return bytes
 }
