--- a/access/access.go
+++ b/access/access.go
@@ -99,8 +99,8 @@
 	NoKey
 	// UnknownKey requests show a key that belongs to no workspace.
 	UnknownKey
-	// Unproven requests come while the node cannot tell whether their key still holds.
-	Unproven
+	// Unverified requests come while the node cannot tell whether their key still holds.
+	Unverified
 	// Unusable requests belong to a workspace that cannot be used as it was written.
 	Unusable
 )
@@ -114,7 +114,7 @@
 		return "the request needs one key, as Authorization: Bearer KEY"
 	case UnknownKey:
 		return "the key is not known"
-	case Unproven:
+	case Unverified:
 		return "this node does not know whether the key still holds"
 	case Unusable:
 		return "the workspace cannot be used as it was written"
@@ -122,41 +122,41 @@
 	return "no such verdict"
 }
 
-// A Trust struct is how far a node may go by the keys that it knows.
-type Trust struct {
-	// Proved says that Age is known: how long ago the store is proved to have held no newer keys.
-	Proved bool
-	Age    clock.Millis
-	// Lapse is the age at which keys are no longer taken; 0 if they always are.
-	Lapse clock.Millis
-	// Settled is the age up to which a key that is not known here is taken to be known nowhere; 0 if it always is.
-	Settled clock.Millis
-	// Behind says that there are newer keys than those known here.
-	Behind bool
+// A Freshness struct is how far a node may go by the keys that it knows.
+type Freshness struct {
+	// Known says that Age is known: how long ago the store is proved to have held no newer keys.
+	Known bool
+	Age   clock.Millis
+	// MaxAge is the age at which keys are no longer taken; 0 if they always are.
+	MaxAge clock.Millis
+	// NegativeMaxAge is the age up to which a key that is not known here is taken to be known nowhere; 0 if it always is.
+	NegativeMaxAge clock.Millis
+	// Stale says that there are newer keys than those known here.
+	Stale bool
 }
 
-// holds says whether keys may be taken.
-func (t Trust) holds() bool {
-	return t.Lapse == 0 || t.Proved && t.Age < t.Lapse
+// valid says whether keys may be taken.
+func (t Freshness) valid() bool {
+	return t.MaxAge == 0 || t.Known && t.Age < t.MaxAge
 }
 
-// settled says whether a key that is not known here is known nowhere else.
-func (t Trust) settled() bool {
-	return !t.Behind && (t.Settled == 0 || t.Proved && t.Age < t.Settled)
+// negativeValid says whether a key that is not known here is known nowhere else.
+func (t Freshness) negativeValid() bool {
+	return !t.Stale && (t.NegativeMaxAge == 0 || t.Known && t.Age < t.NegativeMaxAge)
 }
 
 // Decide says whether a request that shows these values of Authorization may be served, and for which workspace.
-func (d *Directory) Decide(authorization []string, t Trust) (*Workspace, Verdict) {
+func (d *Directory) Decide(authorization []string, t Freshness) (*Workspace, Verdict) {
 	key, found := Bearer(authorization)
 	if !found {
 		return nil, NoKey
 	}
 	w := d.byKey[DigestOf(key)]
 	switch {
-	case w == nil && t.settled():
+	case w == nil && t.negativeValid():
 		return nil, UnknownKey
-	case w == nil, !t.holds():
-		return nil, Unproven
+	case w == nil, !t.valid():
+		return nil, Unverified
 	case w.Fault != "":
 		return nil, Unusable
 	}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-var fresh = access.Trust{Proved: true, Age: 100, Lapse: 4900, Settled: 2500}
+var fresh = access.Freshness{Known: true, Age: 100, MaxAge: 4900, NegativeMaxAge: 2500}
 
 func directory(t testing.TB) *access.Directory {
 	d := access.NewDirectory()
@@ -27,7 +27,7 @@
 	cases := []struct {
 		name   string
 		values []string
-		trust  access.Trust
+		trust  access.Freshness
 		want   access.Verdict
 		space  ident.Workspace
 	}{
@@ -50,13 +50,13 @@
 		{"too long", []string{"Bearer " + long}, fresh, access.NoKey, ""},
 		{"case of the key", []string{"Bearer Key-of-shops"}, fresh, access.UnknownKey, ""},
 		{"unknown", []string{"Bearer x"}, fresh, access.UnknownKey, ""},
-		{"trust has lapsed", []string{"Bearer key-of-shops"}, access.Trust{Proved: true, Age: 4900, Lapse: 4900}, access.Unproven, ""},
-		{"just before", []string{"Bearer key-of-shops"}, access.Trust{Proved: true, Age: 4899, Lapse: 4900}, access.Allowed, "shops"},
-		{"nothing proved", []string{"Bearer key-of-shops"}, access.Trust{Lapse: 4900}, access.Unproven, ""},
-		{"taken as known", []string{"Bearer key-of-shops"}, access.Trust{}, access.Allowed, "shops"},
-		{"unknown by old word", []string{"Bearer x"}, access.Trust{Proved: true, Age: 2600, Lapse: 4900, Settled: 2500}, access.Unproven, ""},
-		{"unknown to a node that is behind", []string{"Bearer x"}, access.Trust{Behind: true}, access.Unproven, ""},
-		{"known to a node that is behind", []string{"Bearer key-of-shops"}, access.Trust{Behind: true}, access.Allowed, "shops"},
+		{"trust has lapsed", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4900, MaxAge: 4900}, access.Unverified, ""},
+		{"just before", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4899, MaxAge: 4900}, access.Allowed, "shops"},
+		{"nothing proved", []string{"Bearer key-of-shops"}, access.Freshness{MaxAge: 4900}, access.Unverified, ""},
+		{"taken as known", []string{"Bearer key-of-shops"}, access.Freshness{}, access.Allowed, "shops"},
+		{"unknown by old word", []string{"Bearer x"}, access.Freshness{Known: true, Age: 2600, MaxAge: 4900, NegativeMaxAge: 2500}, access.Unverified, ""},
+		{"unknown to a node that is behind", []string{"Bearer x"}, access.Freshness{Stale: true}, access.Unverified, ""},
+		{"known to a node that is behind", []string{"Bearer key-of-shops"}, access.Freshness{Stale: true}, access.Allowed, "shops"},
 	}
 	d := directory(t)
 	for _, c := range cases {
@@ -105,32 +105,32 @@
 	_, proved := told.Age(0)
 	is.True(!proved)
 	// The store's clock is 7,000 behind. The asker's question goes out at 10,000 and is answered at 10,004.
-	asker.Answered(10_000, 10_004, 3_002, true)
+	asker.ObserveStore(10_000, 10_004, 3_002, true)
 	age, proved := asker.Age(10_004)
 	is.True(proved && age == 4)
 	is.Equal(asker.Proved(), clock.Millis(3_002))
-	told.Heard(asker.Proved(), 10_010)
+	told.Merge(asker.Proved(), 10_010)
 	_, proved = told.Age(10_010)
 	is.True(!proved) // it cannot tell how old that is
 	// It asks the other node, whose answer shows how late the store's clock may be.
-	told.Told(10_020, asker.Latest(10_022))
-	told.Heard(asker.Proved(), 10_030)
+	told.ObserveLatest(10_020, asker.Latest(10_022))
+	told.Merge(asker.Proved(), 10_030)
 	age, proved = told.Age(10_030)
 	is.True(proved && age >= 28 && age <= 32)
 	// The word lies in a buffer for six seconds while the node stands still: it is as old as it is.
-	told.Heard(asker.Proved(), 16_030)
+	told.Merge(asker.Proved(), 16_030)
 	age, proved = told.Age(16_030)
 	is.True(proved && age >= 6_028)
 	// An answer that shows a newer state that cannot be read proves nothing.
-	asker.Answered(16_000, 16_004, 9_002, false)
+	asker.ObserveStore(16_000, 16_004, 9_002, false)
 	age, _ = asker.Age(16_004)
 	is.True(age >= 6_000)
 	// A word from a time to come is none.
-	told.Heard(20_000, 16_030)
+	told.Merge(20_000, 16_030)
 	age, _ = told.Age(16_030)
 	is.True(age >= 6_028)
 	// The store's clock goes back: what was proved before says nothing.
-	asker.Answered(17_000, 17_004, 100, false)
+	asker.ObserveStore(17_000, 17_004, 100, false)
 	_, proved = asker.Age(17_004)
 	is.True(!proved)
 }
--- a/access/proof.go
+++ b/access/proof.go
@@ -15,9 +15,9 @@
 	proved clock.Millis
 }
 
-// Answered takes in the store's own answer to a question that was sent and answered at local times: its clock
+// ObserveStore takes in the store's own answer to a question that was sent and answered at local times: its clock
 // showed the reading. Holds says that the answer proves that nothing newer was there.
-func (p *Proof) Answered(sent, received, reading clock.Millis, holds bool) {
+func (p *Proof) ObserveStore(sent, received, reading clock.Millis, holds bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.store.Answered(sent, received, reading) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Told takes in the latest that the store's clock may have shown when a question to another node was sent.
-func (p *Proof) Told(sent, latest clock.Millis) {
+// ObserveLatest takes in the latest that the store's clock may have shown when a question to another node was sent.
+func (p *Proof) ObserveLatest(sent, latest clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if latest > 0 {
@@ -37,8 +37,8 @@
 	}
 }
 
-// Heard takes in another node's proof for the same keys. One that cannot be dated, or is of a time to come, is none.
-func (p *Proof) Heard(proved, now clock.Millis) {
+// Merge takes in another node's proof for the same keys. One that cannot be dated, or is of a time to come, is none.
+func (p *Proof) Merge(proved, now clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.store.Earliest(proved, now); !ok {
--- a/assign/assign.go
+++ b/assign/assign.go
@@ -98,10 +98,10 @@
 	return list[:min(most, len(list))]
 }
 
-// Duty returns the place of a node in the ranking for a duty, from 0, or -1 if it has none.
+// Position returns the place of a node in the ranking for a duty, from 0, or -1 if it has none.
 //
 // It ranks nobody else, which costs less than the whole ranking and allocates nothing.
-func Duty(duty string, candidates []Candidate, n ident.Node) (place int) {
+func Position(duty string, candidates []Candidate, n ident.Node) (place int) {
 	own := slices.IndexFunc(candidates, func(c Candidate) bool { return c.Node == n })
 	if own < 0 || candidates[own].Weight == 0 {
 		return -1
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	is.Equal(len(assign.Rank("k", fleet(2, 1))), 2)
 	is.Equal(len(assign.Rank("k", nil)), 0)
-	is.Equal(assign.Duty("poll", fleet(2, 1), "absent"), -1)
+	is.Equal(assign.Position("poll", fleet(2, 1), "absent"), -1)
 }
 
 // TestStrongestAreThoseOfTheWholeRanking compares the strongest with the whole ranking, sorted by weight: for any need, the
--- a/assign/sharers.go
+++ b/assign/sharers.go
@@ -7,14 +7,14 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// SettleFor is how long a node goes on counting one that it no longer sees among those that share something, and how
+// SettleTime is how long a node goes on counting one that it no longer sees among those that share something, and how
 // long it must have been one of them itself to have a part. A suspicion lasts no longer: whoever is held suspect goes on
 // with its part, and nodes differ in whom they suspect.
-const SettleFor = 3 * clock.Second
+const SettleTime = 3 * clock.Second
 
 // minPresence is for how long another node must have been seen sharing to count: one that did so for a moment had no part
 // yet. What is left of SettleFor is for news that comes late.
-const minPresence = SettleFor / 2
+const minPresence = SettleTime / 2
 
 // A Sharers struct remembers who shared something with this node of late, so that parts of it add up to one at most
 // while nodes disagree. It is not safe for concurrent use.
@@ -35,27 +35,27 @@
 	return &Sharers{seen: map[ident.Node]presence{}}
 }
 
-// See takes in whom this node sees sharing now, and whether itself is one of them. It returns how many to count, and
+// Observe takes in whom this node sees sharing now, and whether itself is one of them. It returns how many to count, and
 // whether the node has a part: once the others must have seen that it shares. Nodes that all started at once, which fresh
 // says, have nobody to wait for, and whom they took for sharing while they knew few others had no part.
-func (s *Sharers) See(sharing []ident.Node, shares, fresh bool, now clock.Millis) (count int, settled bool) {
+func (s *Sharers) Observe(sharing []ident.Node, shares, fresh bool, now clock.Millis) (count int, settled bool) {
 	since := now
 	if fresh {
-		since -= SettleFor
+		since -= SettleTime
 		clear(s.seen)
 	}
-	paused := now-s.observedAt > SettleFor // this process stood still, and others may have stopped counting it
+	paused := now-s.observedAt > SettleTime // this process stood still, and others may have stopped counting it
 	if shares && (!s.shares || paused) {
 		s.joinedAt = since
 	}
 	s.shares, s.observedAt = shares, now
 	s.record(sharing, since, now)
-	return s.count(), shares && now-s.joinedAt >= SettleFor
+	return s.count(), shares && now-s.joinedAt >= SettleTime
 }
 
 // record takes in who is seen sharing, those that were not seen of late since the time given.
 func (s *Sharers) record(sharing []ident.Node, since, now clock.Millis) {
-	maps.DeleteFunc(s.seen, func(_ ident.Node, at presence) bool { return now-at.last > SettleFor })
+	maps.DeleteFunc(s.seen, func(_ ident.Node, at presence) bool { return now-at.last > SettleTime })
 	for _, n := range sharing {
 		at, found := s.seen[n]
 		if !found {
--- a/assign/sharers_test.go
+++ b/assign/sharers_test.go
@@ -38,7 +38,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			count, settled := s.See(c.sharing, c.shares, false, c.at)
+			count, settled := s.Observe(c.sharing, c.shares, false, c.at)
 			is.Equal(count, c.count)
 			is.Equal(settled, c.settled)
 		})
@@ -51,12 +51,12 @@
 func TestSharersThatStartAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := assign.NewSharers()
-	_, settled := s.See([]ident.Node{"a", "x", "y"}, true, true, 10_000)
+	_, settled := s.Observe([]ident.Node{"a", "x", "y"}, true, true, 10_000)
 	is.True(settled)
-	s.See([]ident.Node{"a", "z"}, true, true, 10_300)
-	count, settled := s.See([]ident.Node{"a", "b"}, true, true, 10_600)
+	s.Observe([]ident.Node{"a", "z"}, true, true, 10_300)
+	count, settled := s.Observe([]ident.Node{"a", "b"}, true, true, 10_600)
 	is.Equal(count, 2)
 	is.True(settled)
-	count, _ = s.See([]ident.Node{"a", "b"}, true, false, 12_600)
+	count, _ = s.Observe([]ident.Node{"a", "b"}, true, false, 12_600)
 	is.Equal(count, 2)
 }
--- a/config/writer.go
+++ b/config/writer.go
@@ -99,7 +99,7 @@
 			return c, err
 		}
 	}
-	return nil, errors.Wrap(store.ErrAway, "log is too busy")
+	return nil, errors.Wrap(store.ErrUnavailable, "log is too busy")
 }
 
 // try makes one attempt. It is not done if another change was faster.
@@ -210,7 +210,7 @@
 func (w *writer) settle(ctx context.Context, id string) (*tlv1.Change, error) {
 	for range maxReads {
 		c, err := w.Resolve(ctx, id)
-		if err == nil || !errors.Is(err, store.ErrAway) {
+		if err == nil || !errors.Is(err, store.ErrUnavailable) {
 			return c, err
 		}
 		if ctx.Err() != nil {
--- a/config/writer_test.go
+++ b/config/writer_test.go
@@ -68,7 +68,7 @@
 func (t *late) Commit(ctx context.Context, writes ...store.Write) error {
 	if t.hold {
 		t.hold, t.held = false, writes
-		return store.ErrAway
+		return store.ErrUnavailable
 	}
 	return t.Table.Commit(ctx, writes...)
 }
@@ -187,7 +187,7 @@
 				known[c.GetDocument().GetKey()] = int(c.GetSeq())
 			case errors.Is(err, config.ErrVoided):
 				void[id] = true
-			case errors.Is(err, config.ErrUndecided), errors.Is(err, store.ErrAway):
+			case errors.Is(err, config.ErrUndecided), errors.Is(err, store.ErrUnavailable):
 				open[id] = true
 			}
 		}
--- a/limit/deal.go
+++ b/limit/deal.go
@@ -42,7 +42,7 @@
 // fleet has nobody to wait for, and one that has just started does not wait: where all have, one after the other, nobody
 // would have a part for as long.
 func (v View) withSettledSharers(s *assign.Sharers, now clock.Millis) View {
-	count, settled := s.See(v.Sharers, v.IsSharer && v.HasEnoughPeers(), v.ColdStart || v.JustStarted || max(v.Live, v.PeakLive) <= 1, now)
+	count, settled := s.Observe(v.Sharers, v.IsSharer && v.HasEnoughPeers(), v.ColdStart || v.JustStarted || max(v.Live, v.PeakLive) <= 1, now)
 	if len(v.Sharers) > 0 {
 		v.SharerCount = max(count, 1)
 	}
@@ -82,7 +82,7 @@
 		m.since = now
 	}
 	m.reachedMost = v.ReachedMostSeeds()
-	if v.ReachedAllSeeds() || now-m.since >= assign.SettleFor {
+	if v.ReachedAllSeeds() || now-m.since >= assign.SettleTime {
 		return 1
 	}
 	return incompleteShare
--- a/node/admit.go
+++ b/node/admit.go
@@ -32,7 +32,7 @@
 	switch v {
 	case access.Allowed:
 		return w, nil
-	case access.Unproven:
+	case access.Unverified:
 		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: jitter(provePause), Detail: v.String()}
 	case access.Unusable:
 		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyPause, Detail: v.String()}
@@ -64,12 +64,12 @@
 }
 
 // trust is how far this node may go by the keys of a desired state.
-func (n *Node) trust(t *desired.Table) access.Trust {
+func (n *Node) trust(t *desired.Table) access.Freshness {
 	b := n.settings().Bounds
-	trust := access.Trust{Settled: b.Apply.Millis(), Behind: n.lacksNewer(t)}
-	trust.Age, trust.Proved = n.duty.proof.Age(n.clock.Now())
+	trust := access.Freshness{NegativeMaxAge: b.Apply.Millis(), Stale: n.lacksNewer(t)}
+	trust.Age, trust.Known = n.duty.proof.Age(n.clock.Now())
 	if b.Revoke > 0 {
-		trust.Lapse = b.Revoke.Millis() - revokeMargin
+		trust.MaxAge = b.Revoke.Millis() - revokeMargin
 	}
 	return trust
 }
@@ -89,5 +89,5 @@
 		return false
 	}
 	trust := n.trust(t)
-	return trust.Lapse > 0 && (!trust.Proved || trust.Age >= trust.Lapse*awayShare/tenths)
+	return trust.MaxAge > 0 && (!trust.Known || trust.Age >= trust.MaxAge*awayShare/tenths)
 }
--- a/node/answer.go
+++ b/node/answer.go
@@ -39,14 +39,14 @@
 		x.restEnded(err)
 	}
 	if err != nil {
-		t.Unsure()
+		t.Unknown()
 		x.ended(a.Status, causeCut, "the answer was cut: "+err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	for k, v := range a.Trailer {
 		x.w.Header()[http.TrailerPrefix+k] = v
 	}
-	t.Answered(&once.Answer{Status: a.Status, Header: a.Header, Body: a.Body, Whole: a.Rest == nil && len(a.Trailer) == 0})
+	t.Complete(&once.Response{Status: a.Status, Header: a.Header, Body: a.Body, Complete: a.Rest == nil && len(a.Trailer) == 0})
 	c := cause("")
 	if a.Status >= http.StatusInternalServerError {
 		c = causeTargetFailed
@@ -116,7 +116,7 @@
 
 // noAnswer tells of a request that a target may have run and did not answer.
 func (x *exchange) noAnswer(err error, t ticket) {
-	t.Unsure()
+	t.Unknown()
 	if errors.Is(err, forward.ErrBody) {
 		x.badBody(err, Unknown)
 		return
@@ -168,7 +168,7 @@
 // gone ends a request whose caller has left.
 func (x *exchange) gone(t ticket) {
 	if x.ran > 0 {
-		t.Unsure()
+		t.Unknown()
 	} else {
 		t.Void()
 	}
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -243,14 +243,14 @@
 		}
 		d.matched(k, s.GetNewest())
 		if k == store.State && d.node.records.readable() {
-			d.proof.Heard(clock.Millis(s.GetProved()), now)
+			d.proof.Merge(clock.Millis(s.GetProved()), now)
 		}
 		if s.GetAgeMs() == never {
 			continue
 		}
 		d.mu.Lock()
 		d.confirmed[k] = max(d.confirmed[k], now-clock.Millis(s.GetAgeMs()))
-		d.marks[k] = max(d.marks[k], store.Mark(s.GetMark()))
+		d.marks[k] = max(d.marks[k], store.Cursor(s.GetMark()))
 		d.mu.Unlock()
 	}
 	return same
--- a/node/duty.go
+++ b/node/duty.go
@@ -68,7 +68,7 @@
 	// proof is how long ago the store is proved to have held no newer state.
 	proof access.Proof
 	// marks are up to where this node holds all changes, from the store or by another's word.
-	marks  map[store.Kind]store.Mark
+	marks  map[store.Kind]store.Cursor
 	told   clock.Millis
 	passed clock.Millis
 	// confirming says that the hall is to be told at the next tick.
@@ -89,7 +89,7 @@
 func newDuty(n *Node) *duty {
 	return &duty{
 		node: n, since: n.clock.Now(), seeds: waitsForOthers(n), patience: rand.Float64(), confirmed: map[store.Kind]clock.Millis{},
-		asked: map[store.Kind]clock.Millis{}, marks: map[store.Kind]store.Mark{}, differences: map[store.Kind]difference{}, hall: watcher.New(n.clock, n.self), place: -1,
+		asked: map[store.Kind]clock.Millis{}, marks: map[store.Kind]store.Cursor{}, differences: map[store.Kind]difference{}, hall: watcher.New(n.clock, n.self), place: -1,
 	}
 }
 
@@ -221,7 +221,7 @@
 
 // mark returns up to where this node holds all changes of the kind; 0 if it must read all. The state is one
 // record, of which the newest version is all there is up to it.
-func (d *duty) mark(k store.Kind) store.Mark {
+func (d *duty) mark(k store.Kind) store.Cursor {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.marks[k]
@@ -229,7 +229,7 @@
 		return 0
 	}
 	if k == store.State && !d.gap {
-		m = max(m, store.Mark(d.node.records.sets[k].Newest()))
+		m = max(m, store.Cursor(d.node.records.sets[k].Newest()))
 	}
 	return m
 }
@@ -267,7 +267,7 @@
 
 // ask reads all records of the kind if there is no mark, or follows it, and spreads what is new. It returns up to
 // where this node holds all changes now, and when that was so: a large answer is old when its end has come.
-func (d *duty) ask(ctx context.Context, k store.Kind, m store.Mark) (next store.Mark, at clock.Millis, err error) {
+func (d *duty) ask(ctx context.Context, k store.Kind, m store.Cursor) (next store.Cursor, at clock.Millis, err error) {
 	n := d.node
 	var r store.Reply
 	var news []replica.Record
@@ -277,9 +277,9 @@
 		r, err = n.source.Read(ctx, k)
 		if err == nil {
 			for _, with := range withKinds(r) {
-				d.spreadNews(with, n.records.replace(with, r.With[with], r.Mark, fromStore))
+				d.spreadNews(with, n.records.replace(with, r.With[with], r.Cursor, fromStore))
 			}
-			news = n.records.replace(k, r.Records, r.Mark, fromStore)
+			news = n.records.replace(k, r.Records, r.Cursor, fromStore)
 		}
 	} else {
 		r, err = n.source.Follow(ctx, k, m, d.waitFor(k))
@@ -293,20 +293,20 @@
 	at = n.clock.Now()
 	d.tellLongRead(k, m, r, at-sent, err)
 	if err == nil && r.Clock > 0 {
-		d.proof.Answered(sent, at, r.Clock, k == store.State && n.records.readable())
+		d.proof.ObserveStore(sent, at, r.Clock, k == store.State && n.records.readable())
 	}
 	if err != nil {
-		return r.Mark, at, err
+		return r.Cursor, at, err
 	}
 	if len(r.Records) > 0 {
 		at = r.Records[0].At
 	}
 	if len(news) == 0 {
-		return r.Mark, at, nil
+		return r.Cursor, at, nil
 	}
 	d.spread(k, news)
 	pause(ctx, settle)
-	return r.Mark, at, nil
+	return r.Cursor, at, nil
 }
 
 // withKinds returns the kinds that came with an answer, in order.
@@ -325,12 +325,12 @@
 const longRead clock.Millis = 250
 
 // tellLongRead tells of an answer that took long to come, other than by waiting for changes.
-func (d *duty) tellLongRead(k store.Kind, m store.Mark, r store.Reply, took clock.Millis, err error) {
+func (d *duty) tellLongRead(k store.Kind, m store.Cursor, r store.Reply, took clock.Millis, err error) {
 	if took < longRead || err != nil || m > 0 && len(r.Records) == 0 {
 		return
 	}
 	d.node.log.WithFields(logrus.Fields{
-		"event": "store_read", "kind": k, "after": m, "upto": r.Mark, "records": len(r.Records), "ms": took,
+		"event": "store_read", "kind": k, "after": m, "upto": r.Cursor, "records": len(r.Records), "ms": took,
 	}).Info()
 }
 
@@ -349,7 +349,7 @@
 const lookTimeout = 2 * clock.Second
 
 // answered notes that the store answered this node, up to where that has all changes, and when that was so.
-func (d *duty) answered(k store.Kind, m store.Mark, at clock.Millis) {
+func (d *duty) answered(k store.Kind, m store.Cursor, at clock.Millis) {
 	d.mu.Lock()
 	d.marks[k] = max(d.marks[k], m)
 	d.gap = d.gap && k != store.State
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -27,17 +27,17 @@
 
 // A ticket is told how a run-once request ended.
 type ticket interface {
-	Answered(a *once.Answer)
+	Complete(a *once.Response)
 	Void()
-	Unsure()
+	Unknown()
 }
 
 // noTicket stands for requests without a key.
 type noTicket struct{}
 
-func (noTicket) Answered(*once.Answer) {}
-func (noTicket) Void()                 {}
-func (noTicket) Unsure()               {}
+func (noTicket) Complete(*once.Response) {}
+func (noTicket) Void()                   {}
+func (noTicket) Unknown()                {}
 
 // An exchange is one request on its way through this node.
 type exchange struct {
--- a/node/operators.go
+++ b/node/operators.go
@@ -237,7 +237,7 @@
 		return connect.NewError(connect.CodeFailedPrecondition, err)
 	case errors.Is(err, config.ErrUndecided):
 		return connect.NewError(connect.CodeUnknown, err)
-	case errors.Is(err, store.ErrAway):
+	case errors.Is(err, store.ErrUnavailable):
 		return connect.NewError(connect.CodeUnavailable, err)
 	}
 	return connect.NewError(connect.CodeInternal, err)
--- a/node/own.go
+++ b/node/own.go
@@ -138,9 +138,9 @@
 		x.serve(d.Ticket)
 		return
 	case once.Replay:
-		n.replay(x, d.Answer)
+		n.replay(x, d.Response)
 		return
-	case once.Elsewhere:
+	case once.Forward:
 		n.passHome(x, d.Home, passed)
 		return
 	case once.NotRun:
@@ -165,8 +165,8 @@
 }
 
 // replay sends the answer that was kept.
-func (n *Node) replay(x *exchange, a *once.Answer) {
-	if !a.Whole {
+func (n *Node) replay(x *exchange, a *once.Response) {
+	if !a.Complete {
 		n.refuse(x.w, x.r, Problem{
 			Status: http.StatusConflict, Outcome: Ran,
 			Detail: "the request ran, and was answered with status " + strconv.Itoa(a.Status) + "; the answer was too large to keep",
--- a/node/peers.go
+++ b/node/peers.go
@@ -360,7 +360,7 @@
 		}).Info()
 		return false
 	}
-	n.duty.proof.Told(begun, clock.Millis(res.Msg.GetStoreNow()))
+	n.duty.proof.ObserveLatest(begun, clock.Millis(res.Msg.GetStoreNow()))
 	n.quotas.known.see(int(res.Msg.GetKnown()), n.clock.Now())
 	records := p.takeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
--- a/node/records.go
+++ b/node/records.go
@@ -61,7 +61,7 @@
 }
 
 // replace takes in all records that the store has, as read at the mark.
-func (r *records) replace(k store.Kind, list []replica.Record, m store.Mark, from string) []replica.Record {
+func (r *records) replace(k store.Kind, list []replica.Record, m store.Cursor, from string) []replica.Record {
 	news := r.sets[k].Replace(list, uint64(m))
 	r.takeOver(k, news, from)
 	return news
--- a/node/retries.go
+++ b/node/retries.go
@@ -29,7 +29,7 @@
 	v := pool.View{Live: live, Known: s.most.see(live, n.clock.Now()), Young: n.clock.Now()-n.duty.since < r.Window.Millis()}
 	carriers := n.carriers.all(svc.name)
 	svc.mu.Lock()
-	v.Carriers, v.Carries = svc.sharers.See(nodesOf(carriers), n.isAmong(carriers) && v.HearsMost(), first, n.clock.Now())
+	v.Carriers, v.Carries = svc.sharers.Observe(nodesOf(carriers), n.isAmong(carriers) && v.HearsMost(), first, n.clock.Now())
 	svc.mu.Unlock()
 	return r.Slack * pool.SlackShare(v)
 }
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout.Duration())
 	defer cancel()
 	err := s.save(ctx, p, trials)
-	granted := err == nil || errors.Is(err, store.ErrAway) && s.first(p)
+	granted := err == nil || errors.Is(err, store.ErrUnavailable) && s.first(p)
 	s.node.metrics.trial(granted)
 	s.node.log.WithFields(logrus.Fields{"event": "request_trial", "print": p, "trials": trials, "granted": granted, "error": err}).Warn()
 	return granted
--- a/node/turns.go
+++ b/node/turns.go
@@ -61,7 +61,7 @@
 	}
 	place, found := f.places[x.id]
 	if !found {
-		place = assign.Duty(string(x.id), f.candidates, t.self)
+		place = assign.Position(string(x.id), f.candidates, t.self)
 		f.places[x.id] = place
 	}
 	return place
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -11,25 +11,25 @@
 
 // Limits bounds what a ledger keeps.
 type Limits struct {
-	// SliceFor is how long one slice's prefix is handed out.
-	SliceFor clock.Millis
-	// KeepFor is how much longer keys of the slice are taken, and their outcomes kept.
-	KeepFor clock.Millis
+	// SliceDuration is how long one slice's prefix is handed out.
+	SliceDuration clock.Millis
+	// Retention is how much longer keys of the slice are taken, and their outcomes kept.
+	Retention clock.Millis
 	// Keys is the most keys kept, of all workspaces.
 	Keys int
 	// Bytes is the most bytes of answers kept, of all workspaces.
 	Bytes int
-	// AnswerBytes is the most bytes of one answer that are kept.
-	AnswerBytes int
+	// ResponseBytes is the most bytes of one answer that are kept.
+	ResponseBytes int
 }
 
 // DefaultLimits keeps outcomes for ten minutes within about 24 MB.
 var DefaultLimits = Limits{
-	SliceFor:    1 * clock.Minute,
-	KeepFor:     10 * clock.Minute,
-	Keys:        60_000,
-	Bytes:       8 << 20,
-	AnswerBytes: 4 << 10,
+	SliceDuration: 1 * clock.Minute,
+	Retention:     10 * clock.Minute,
+	Keys:          60_000,
+	Bytes:         8 << 20,
+	ResponseBytes: 4 << 10,
 }
 
 type state int
@@ -44,7 +44,7 @@
 type entry struct {
 	state       state
 	fingerprint uint64
-	answer      *Answer
+	response    *Response
 }
 
 // entryKey is a key within its slice.
@@ -101,7 +101,7 @@
 func (l *Ledger) currentSlice() *slice {
 	now := l.clock.Now()
 	l.expire(now)
-	if n := len(l.slices); n > 0 && now-l.slices[n-1].opened < l.limits.SliceFor {
+	if n := len(l.slices); n > 0 && now-l.slices[n-1].opened < l.limits.SliceDuration {
 		return l.slices[n-1]
 	}
 	l.sliceCount++
@@ -116,7 +116,7 @@
 }
 
 func (l *Ledger) expire(now clock.Millis) {
-	for len(l.slices) > 0 && now-l.slices[0].opened >= l.limits.SliceFor+l.limits.KeepFor {
+	for len(l.slices) > 0 && now-l.slices[0].opened >= l.limits.SliceDuration+l.limits.Retention {
 		l.dropSlice(l.slices[0])
 		l.slices = l.slices[1:]
 	}
@@ -147,7 +147,7 @@
 // requests apart that come under one key.
 func (l *Ledger) Begin(w ident.Workspace, k Key, fingerprint uint64) Decision {
 	if k.Home != l.self {
-		return Elsewhere{Home: k.Home}
+		return Forward{Home: k.Home}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +183,7 @@
 	}
 	switch e.state {
 	case answered:
-		return Replay{Answer: e.answer}
+		return Replay{Response: e.response}
 	case voided:
 		return NotRun{Reason: "given up before it ran"}
 	case running:
@@ -199,8 +199,8 @@
 	entry  *entry
 }
 
-// Answered records what the target answered.
-func (t *Ticket) Answered(a *Answer) {
+// Complete records what the target answered.
+func (t *Ticket) Complete(a *Response) {
 	t.end(answered, t.ledger.trim(a))
 }
 
@@ -210,12 +210,12 @@
 	t.end(voided, nil)
 }
 
-// Unsure records that nobody knows whether the request ran.
-func (t *Ticket) Unsure() {
+// Unknown records that nobody knows whether the request ran.
+func (t *Ticket) Unknown() {
 	t.end(unknown, nil)
 }
 
-func (t *Ticket) end(s state, a *Answer) {
+func (t *Ticket) end(s state, a *Response) {
 	l := t.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,9 +224,9 @@
 	}
 	t.entry.state = s
 	if a.size() > l.limits.Bytes-l.bytes {
-		a = &Answer{Status: a.Status}
+		a = &Response{Status: a.Status}
 	}
-	t.entry.answer = a
+	t.entry.response = a
 	if t.slice.entries != nil {
 		t.slice.bytes += a.size()
 		l.bytes += a.size()
@@ -234,9 +234,9 @@
 }
 
 // trim leaves the body out of answers that are too large to keep.
-func (l *Ledger) trim(a *Answer) *Answer {
-	if !a.Whole || a.size() > l.limits.AnswerBytes {
-		return &Answer{Status: a.Status}
+func (l *Ledger) trim(a *Response) *Response {
+	if !a.Complete || a.size() > l.limits.ResponseBytes {
+		return &Response{Status: a.Status}
 	}
 	return a
 }
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-var small = once.Limits{SliceFor: 100, KeepFor: 200, Keys: 16, Bytes: 64, AnswerBytes: 8}
+var small = once.Limits{SliceDuration: 100, Retention: 200, Keys: 16, Bytes: 64, ResponseBytes: 8}
 
 func newLedger(c clock.Clock, inc ident.Incarnation) *once.Ledger {
 	self := ident.Process{Node: "n1", Incarnation: inc}
@@ -37,16 +37,16 @@
 	is.True(isRun)
 	is.Equal(l.Begin("w", k, 1), once.Unknown{Reason: "still running"})
 	is.Equal(l.Begin("w", k, 2), once.Mismatch{})
-	run.Ticket.Answered(&once.Answer{Status: 200, Body: []byte("ok"), Whole: true})
+	run.Ticket.Complete(&once.Response{Status: 200, Body: []byte("ok"), Complete: true})
 	run.Ticket.Void() // a later end changes nothing
 	replay, isReplay := l.Begin("w", k, 1).(once.Replay)
 	is.True(isReplay)
-	is.Equal(string(replay.Answer.Body), "ok")
+	is.Equal(string(replay.Response.Body), "ok")
 
 	_, isRun = l.Begin("other", k, 2).(once.Run)
 	is.True(isRun) // another workspace's key is another key
 
-	is.Equal(newLedger(c, 8).Begin("w", k, 1), once.Elsewhere{Home: k.Home})
+	is.Equal(newLedger(c, 8).Begin("w", k, 1), once.Forward{Home: k.Home})
 	c.Advance(301)
 	is.Equal(l.Begin("w", k, 1), once.Unknown{Reason: "the key's time slice has ended"})
 	is.Equal(l.Keys(), 0)
@@ -147,9 +147,9 @@
 				end := rapid.IntRange(0, 2).Draw(t, "end")
 				switch {
 				case end == 0:
-					tk.ticket.Answered(&once.Answer{Status: 200, Whole: true})
+					tk.ticket.Complete(&once.Response{Status: 200, Complete: true})
 				case end == 1:
-					tk.ticket.Unsure()
+					tk.ticket.Unknown()
 				case !tk.ended: // the request never reached a target
 					tk.ticket.Void()
 					tk.fate.runs--
@@ -177,7 +177,7 @@
 	c := clock.NewManual(0)
 	l := newLedger(c, 1)
 	old := l.Prefix()
-	c.Advance(small.SliceFor + 1)
+	c.Advance(small.SliceDuration + 1)
 	l.Begin("w", key(t, l.Prefix(), "later"), 1) // a slice that outlives the old one
 	for i := range small.Keys {
 		l.Begin("w", key(t, old, fmt.Sprint(i)), 1)
@@ -185,7 +185,7 @@
 	refused := key(t, l.Prefix(), "refused")
 	_, notRun := l.Begin("w", refused, 1).(once.NotRun)
 	is.True(notRun)
-	c.Advance(small.KeepFor - 1) // the old slice ends, and there is room again
+	c.Advance(small.Retention - 1) // the old slice ends, and there is room again
 	is.True(l.Keys() > 0)
 	_, notRun = l.Begin("w", refused, 1).(once.NotRun)
 	is.True(notRun)
--- a/once/once.go
+++ b/once/once.go
@@ -57,17 +57,17 @@
 	return Key{Home: home, Slice: parts[2], Suffix: parts[3]}, nil
 }
 
-// An Answer struct is what a target answered, kept for callers that send the key again.
-type Answer struct {
+// A Response struct is what a target answered, kept for callers that send the key again.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Whole is false when the answer was too large to keep.
-	Whole bool
+	// Complete is false when the answer was too large to keep.
+	Complete bool
 }
 
 // size is about how much memory the answer takes.
-func (a *Answer) size() int {
+func (a *Response) size() int {
 	if a == nil {
 		return 0
 	}
@@ -82,14 +82,14 @@
 }
 
 // A Decision says what to do with a request. It is one of Run, Replay, NotRun, Unknown,
-// Elsewhere and Mismatch.
+// Forward and Mismatch.
 type Decision interface{ decision() }
 
 // A Run decision lets the request run, now, here, once. The ticket must be ended.
 type Run struct{ Ticket *Ticket }
 
 // A Replay decision says that the request ran before, and what it was answered.
-type Replay struct{ Answer *Answer }
+type Replay struct{ Response *Response }
 
 // A NotRun decision says that the request has not run and never will under this key.
 type NotRun struct{ Reason string }
@@ -97,15 +97,15 @@
 // An Unknown decision says that the request may have run, or is running.
 type Unknown struct{ Reason string }
 
-// An Elsewhere decision names the only process that may run the key.
-type Elsewhere struct{ Home ident.Process }
+// A Forward decision names the only process that may run the key.
+type Forward struct{ Home ident.Process }
 
 // A Mismatch decision says that the key belongs to another request.
 type Mismatch struct{}
 
-func (Run) decision()       {}
-func (Replay) decision()    {}
-func (NotRun) decision()    {}
-func (Unknown) decision()   {}
-func (Elsewhere) decision() {}
-func (Mismatch) decision()  {}
+func (Run) decision()      {}
+func (Replay) decision()   {}
+func (NotRun) decision()   {}
+func (Unknown) decision()  {}
+func (Forward) decision()  {}
+func (Mismatch) decision() {}
--- a/proof/doubts_test.go
+++ b/proof/doubts_test.go
@@ -25,7 +25,7 @@
 		for i := range sharers {
 			sharers[i] = assign.NewSharers()
 		}
-		for now := 10_000 - assign.SettleFor; now < 10_000+window; now += 100 {
+		for now := 10_000 - assign.SettleTime; now < 10_000+window; now += 100 {
 			for i := range nodes {
 				var sharing []ident.Node
 				v := pool.View{Live: nodes, Known: nodes}
@@ -38,7 +38,7 @@
 						v.Carries = v.Carries || i == j
 					}
 				}
-				v.Carriers, v.Carries = sharers[i].See(sharing, v.Carries, now == 10_000-assign.SettleFor, now)
+				v.Carriers, v.Carries = sharers[i].Observe(sharing, v.Carries, now == 10_000-assign.SettleTime, now)
 				most[i] = max(most[i], pool.SlackShare(v))
 			}
 		}
--- a/proof/workspaces_test.go
+++ b/proof/workspaces_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trust := access.Trust{Proved: true, Age: 100, Lapse: 4900, Settled: 2500}
+	trust := access.Freshness{Known: true, Age: 100, MaxAge: 4900, NegativeMaxAge: 2500}
 	check := func(key func(i int) string, want access.Verdict) time.Duration {
 		const checks = 200_000
 		shown := make([][]string, 1<<14)
--- a/store/store.go
+++ b/store/store.go
@@ -13,9 +13,9 @@
 
 // Errors of calls.
 var (
-	// ErrAway says that the store did not answer, or refused. A commit that fails so may have taken
+	// ErrUnavailable says that the store did not answer, or refused. A commit that fails so may have taken
 	// effect, or may yet.
-	ErrAway = errors.New("store does not answer")
+	ErrUnavailable = errors.New("store does not answer")
 	// ErrInvalid says that the store answered and will not take this call, now or later: nothing was written.
 	ErrInvalid = errors.New("store does not take the call")
 	// ErrContended says that other writers were faster each time: nothing was written, and the store answers.
@@ -107,16 +107,16 @@
 	Err     error
 }
 
-// A Mark is a place in a kind's changes, to go on from.
-type Mark uint64
+// A Cursor is a place in a kind's changes, to go on from.
+type Cursor uint64
 
 // A Reply struct is what the store says of a kind's records.
 type Reply struct {
 	Records []replica.Record
 	// With are records of kinds that come with this one. If all were read, each kind there is has an entry.
 	With map[Kind][]replica.Record
-	// Mark is where to go on from: up to there the records are all there are.
-	Mark Mark
+	// Cursor is where to go on from: up to there the records are all there are.
+	Cursor Cursor
 	// Clock is what the store's own steady clock showed then; 0 if it tells none.
 	Clock clock.Millis
 }
@@ -127,5 +127,5 @@
 	Read(ctx context.Context, k Kind) (Reply, error)
 	// Follow returns the changes since the mark as soon as there are any, or none after the wait. It
 	// fails with ErrGap when it no longer knows them, and with ErrSuperseded when the newest is better read alone.
-	Follow(ctx context.Context, k Kind, m Mark, wait clock.Millis) (Reply, error)
+	Follow(ctx context.Context, k Kind, m Cursor, wait clock.Millis) (Reply, error)
 }
--- a/warmup/model_test.go
+++ b/warmup/model_test.go
@@ -80,7 +80,7 @@
 		}
 	}
 	v := warmup.View{
-		First: assign.Duty("target", candidates, c.name) == 0, Live: len(candidates), Known: c.known, Met: now-c.started >= 2*clock.Second,
+		First: assign.Position("target", candidates, c.name) == 0, Live: len(candidates), Known: c.known, Met: now-c.started >= 2*clock.Second,
 	}
 	c.pool.SetTargets([]pool.Target{{ID: "t", Slots: 1000, Near: true, ColdUntil: now + clock.Minute, ColdRate: m.limit.Rate(v)}})
 }
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -206,7 +206,7 @@
 			before++
 		}
 	}
-	return before + assign.Duty(watchDuty, equals, self)
+	return before + assign.Position(watchDuty, equals, self)
 }
 
 // First returns the node of a hall that watches it, as far as its nodes are known to have the weights; "" if there
