--- a/access/proof.go
+++ b/access/proof.go
@@ -17,13 +17,13 @@
 
 // ObserveStore takes in the store's own answer to a question that was sent and answered at local times: its clock
 // showed the reading. Holds says that the answer proves that nothing newer was there.
-func (p *Proof) ObserveStore(sent, received, reading clock.Millis, holds bool) {
+func (p *Proof) ObserveStore(sent, received, reading clock.Millis, current bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.store.Answered(sent, received, reading) {
 		p.proved = 0
 	}
-	if holds {
+	if current {
 		p.proved = max(p.proved, reading)
 	}
 }
--- a/assign/assign.go
+++ b/assign/assign.go
@@ -60,7 +60,7 @@
 
 // Strongest returns the candidates that carry the most for the key, as many as together weigh need, and a few at least. Those
 // that weigh the same are ranked; of a large fleet that is the few strong ones, so most are never scored.
-func Strongest(key string, candidates []Candidate, need, few int) (list []Candidate) {
+func Strongest(key string, candidates []Candidate, minWeight, minCount int) (list []Candidate) {
 	weights := make([]uint32, 0, len(candidates))
 	for _, c := range candidates {
 		weights = append(weights, c.Weight)
@@ -69,11 +69,11 @@
 	weights = slices.Compact(weights)
 	for _, w := range slices.Backward(weights) {
 		for _, c := range Rank(key, withWeight(candidates, w)) {
-			if need <= 0 && len(list) >= few {
+			if minWeight <= 0 && len(list) >= minCount {
 				return list
 			}
 			list = append(list, c)
-			need -= int(w)
+			minWeight -= int(w)
 		}
 	}
 	return list
@@ -91,9 +91,9 @@
 }
 
 // Busiest returns the processes that ask the most, at most so many of them, the busiest first.
-func Busiest(asked map[ident.Process]int, most int) []ident.Process {
-	list := slices.SortedFunc(maps.Keys(asked), func(a, b ident.Process) int {
-		return cmp.Or(cmp.Compare(asked[b], asked[a]), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
+func Busiest(requests map[ident.Process]int, most int) []ident.Process {
+	list := slices.SortedFunc(maps.Keys(requests), func(a, b ident.Process) int {
+		return cmp.Or(cmp.Compare(requests[b], requests[a]), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return list[:min(most, len(list))]
 }
@@ -101,7 +101,7 @@
 // Position returns the place of a node in the ranking for a duty, from 0, or -1 if it has none.
 //
 // It ranks nobody else, which costs less than the whole ranking and allocates nothing.
-func Position(duty string, candidates []Candidate, n ident.Node) (place int) {
+func Position(duty string, candidates []Candidate, n ident.Node) (position int) {
 	own := slices.IndexFunc(candidates, func(c Candidate) bool { return c.Node == n })
 	if own < 0 || candidates[own].Weight == 0 {
 		return -1
@@ -112,10 +112,10 @@
 			continue
 		}
 		if theirs := score(duty, c); theirs > mine || theirs == mine && c.Node < n {
-			place++
+			position++
 		}
 	}
-	return place
+	return position
 }
 
 // First returns the node that is best for the duty; "" if there is none.
