--- a/limit/limit.go
+++ b/limit/limit.go
@@ -1,25 +1,26 @@
-// Package limit holds workspaces to how many requests they may make over a whole fleet. What a workspace may ask
-// is dealt out to the first nodes of each hall that callers are sent to, in parts that add up to the whole; a node that has more to do
-// than its part borrows from others, who then have less. So it holds in any window and whoever hears whom,
-// without anyone counting: what is lent and lost on its way is lost. It does no I/O.
+// Package limit enforces request limits per workspace over a whole fleet. A workspace's limit is divided among the
+// first nodes of each hall that callers are sent to, in shares that add up to one. A node that needs more than its
+// share borrows from others, who then have less. The limit therefore holds in any window, whichever nodes are in
+// contact, and without a central counter; quota that is lent and lost in transit is lost. The package does no I/O.
 package limit
 
 import "github.com/tinladder/tinladder/clock"
 
-// A Rate struct is how many requests a workspace may make: so many a second, and a burst besides.
+// Rate is the limit of a workspace: requests per second, and a burst on top of that.
 type Rate struct {
-	// PerSecond of 0 is no bound.
+	// PerSecond is unlimited if 0.
 	PerSecond float64
 	Burst     float64
 }
 
-// Bounded says whether there is a bound at all.
+// Bounded reports whether the rate limits anything.
 func (r Rate) Bounded() bool {
 	return r.PerSecond > 0
 }
 
-// Bounds is what the fleet as a whole is held to: in any Window no more than
-// (PerSecond x Window + Burst) x (1 + Overshoot) + Slack.
+// Bounds is the bound that the fleet as a whole keeps to. The most requests in any Window are
+//
+//	(PerSecond x Window + Burst) x (1 + Overshoot) + Slack
 type Bounds struct {
 	Window    clock.Millis
 	Overshoot float64
@@ -27,41 +28,41 @@
 }
 
 const (
-	// loanTTL is how long what was borrowed may be on its way, or used beyond what the borrower may save, from when it
-	// was asked for. For so long the lender may not save what it lent, so it is on one account at any time.
+	// loanTTL is how long after the request for it a loan may be in transit, or be used beyond what the borrower may
+	// save. The lender can't save what it lent during that time, so a loan is in one account at any time.
 	loanTTL clock.Millis = 500
-	// rateShare is the part of what the window allows by the second that is given by the second. The rest is saved for
-	// bursts and starts.
+	// rateShare is the fraction of the rate allowed over a window that accrues continuously. The rest is for bursts and
+	// cold starts.
 	rateShare = 0.85
-	// burstShare is the part of that which may be saved for bursts, and initialShare the part that a fleet has when it
-	// starts, when all that was refused meanwhile comes back at once: it may start twice in a window. What is left is
-	// for nodes that see different others for a while.
+	// burstShare is the fraction of the remaining headroom that may be saved for bursts, and initialShare the fraction
+	// that a fleet has at a cold start, when all requests refused meanwhile are retried at once; there may be two cold
+	// starts in a window. What is left covers periods in which nodes have different views of the fleet.
 	burstShare   = 0.66
 	initialShare = 0.14
 )
 
-// perMilli returns what all nodes together are given by the millisecond.
+// perMilli returns how many requests accrue per millisecond over all nodes.
 func (b Bounds) perMilli(r Rate) float64 {
 	return r.PerSecond / float64(clock.Second) * (1 + b.Overshoot) * rateShare
 }
 
-// headroom returns how many requests the window allows beside those by the second.
+// headroom returns how many requests the window allows beyond those that accrue in it.
 func (b Bounds) headroom(r Rate) float64 {
 	return b.Allowed(r) - b.perMilli(r)*float64(b.Window)
 }
 
-// capacity returns how much all nodes together may have saved.
+// capacity returns how many requests all nodes together may save.
 func (b Bounds) capacity(r Rate) float64 {
 	return b.headroom(r) * burstShare
 }
 
-// initial returns how much all nodes together have when they start.
+// initial returns how many requests all nodes together have at a cold start.
 func (b Bounds) initial(r Rate) float64 {
 	return b.headroom(r) * initialShare
 }
 
-// grant returns what a limit comes to by a node's parts. A fleet whose nodes all started when the first part began has
-// what there is for starts, others had nothing then.
+// grant returns the quota of a node that had these allocations. If the whole fleet cold-started when the first
+// allocation began, it includes the initial quota; otherwise the node had nothing then.
 func (b Bounds) grant(r Rate, allocations []allocation, coldStart bool) grant {
 	g := grant{window: b.Window, perMilli: b.perMilli(r), capacity: b.capacity(r), allocations: allocations}
 	if coldStart {
