--- a/limit/account.go
+++ b/limit/account.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// demandWindow is the time over which a node learns how much a workspace asks of it.
+	// demandWindow is the time constant of the moving average of a workspace's demand.
 	demandWindow = 1 * clock.Second
-	// reserveFor is for how long of its own usual work a node keeps what it has from being lent.
+	// reserveFor is the span of expected demand that a node doesn't lend.
 	reserveFor clock.Millis = 250
 )
 
-// An account is what one node may still admit of one workspace's requests.
+// account is the quota of one workspace on one node.
 type account struct {
 	rate   Rate
 	ledger ledger
-	// loans are what was borrowed, the first to lapse first.
+	// loans are sorted by expiry, the earliest first.
 	loans []loan
-	// demand is how many requests come in a millisecond, of late.
+	// demand is the moving average of requests per millisecond, as of demandAt.
 	demand   float64
 	demandAt clock.Millis
-	// usedAt is when anyone last asked for it.
+	// usedAt is when the account was last accessed.
 	usedAt clock.Millis
 	// used and refused count requests since the account was opened.
 	used, refused uint64
-	// nextAskAt is when others may be asked again, askInterval the time between two questions, and askedAt the last one's time.
+	// nextAskAt is the earliest time of the next loan request, askInterval the time between two, and askedAt the time
+	// of the last one.
 	nextAskAt, askInterval clock.Millis
 	askedAt                clock.Millis
 	seq                    uint64
-	// lenders have answered the last question.
+	// lenders have answered the last loan request.
 	lenders []ident.Node
 }
 
-// A loan is what another node handed over.
+// loan is quota received from another node.
 type loan struct {
 	amount    float64
 	expiresAt clock.Millis
 }
 
-// dropExpired drops loans that are no longer good.
 func (a *account) dropExpired(now clock.Millis) {
 	n := 0
 	for n < len(a.loans) && a.loans[n].expiresAt <= now {
@@ -53,7 +53,7 @@
 	}
 }
 
-// available is how much the account has, borrowed or not.
+// available returns how many requests the account can admit, loans included.
 func (a *account) available(g grant, now clock.Millis) float64 {
 	a.dropExpired(now)
 	sum := max(a.ledger.balance(g, now), 0)
@@ -63,7 +63,7 @@
 	return sum
 }
 
-// takeOne takes one request's worth of what is held, of what lapses first.
+// takeOne takes one request from the available quota, from the loans that expire first.
 func (a *account) takeOne(g grant, available float64, now clock.Millis) bool {
 	if available < 1 {
 		return false
@@ -81,13 +81,12 @@
 	return true
 }
 
-// countArrival notes a request.
 func (a *account) countArrival(now clock.Millis) {
 	a.decayDemand(now)
 	a.demand += 1 / float64(demandWindow)
 }
 
-// decayDemand lets what is usual fade with time.
+// decayDemand lets the moving average decay up to now.
 func (a *account) decayDemand(now clock.Millis) {
 	if now > a.demandAt {
 		a.demand *= math.Exp(-float64(now-a.demandAt) / float64(demandWindow))
@@ -95,13 +94,14 @@
 	}
 }
 
-// expected is how many requests are expected within the span.
+// expected returns how many requests are expected within the span.
 func (a *account) expected(span clock.Millis) float64 {
 	return a.demand * float64(span)
 }
 
-// reserve is what is not lent: what is expected shortly, and the next request if one comes within a second. Without the
-// latter, nodes that are all short swap parts of requests that none of them can use.
+// reserve returns the quota that isn't lent: the demand expected shortly, and the next request if one is expected
+// within a second. Without the latter, nodes that all run short exchange fractions of a request that none of them can
+// use.
 func (a *account) reserve() float64 {
 	return a.expected(reserveFor) + min(a.expected(clock.Second), 1)
 }
