--- a/limit/deal.go
+++ b/limit/deal.go
@@ -7,40 +7,42 @@
 )
 
 const (
-	// majorityShare is the share of the nodes of late that a node must hear to have the whole dealt out anew among those
-	// that live: of a fleet that is cut, one side at most has it.
+	// majorityShare is the fraction of recently known nodes that a node must be in contact with before the limits are
+	// divided anew among the live ones. In a network partition at most one side has it.
 	majorityShare = 0.6
-	// keepShare is the share from which a node keeps the part that it had: it may be on the larger side of a cut, or
-	// on one of two that are alike, and nobody then deals anew.
+	// keepShare is the fraction above which a node keeps its current share: it may be on the larger side of a network
+	// partition, or on one of two equal sides, and then no side divides the limits anew.
 	keepShare = 1 - majorityShare
-	// minSharers is how many nodes a node that has just started takes for sharing with it: it may not know them yet.
+	// minSharers is the least number of sharers that a starting node assumes, as it may not know all of them yet.
 	minSharers = 16
 )
 
-// A View struct is what a node sees of those that share a workspace's limit with it.
+// View is what a node knows of the nodes that share the workspaces' limits.
 type View struct {
-	// IsSharer says that the node is one of SharerCount that have parts, and Sharers which ones those are, as it sees
-	// them now.
+	// IsSharer reports whether this node holds a share, SharerCount is how many nodes do, and Sharers are those that it
+	// currently sees.
 	IsSharer    bool
 	SharerCount int
 	Sharers     []ident.Node
-	// Live nodes are heard now, this one too; PeakLive is the most of them of late.
+	// Live is how many nodes are in contact, including this one, and PeakLive the recent maximum of that.
 	Live, PeakLive int
-	// Isolated says that the node has never met another one, though there should be some.
+	// Isolated reports that the node has never been in contact with another one, though there should be some.
 	Isolated bool
-	// Seeds nodes are those that a process that has not met all of them at once yet was told of at its start, and SeedsReached those
-	// that it hears, itself too: of a fleet that starts while it is cut, one side at most hears most of them.
+	// Seeds is how many nodes a process was configured with, until it has been in contact with all of them at once, and
+	// SeedsReached how many of those it is in contact with, including itself. If a fleet starts in a network partition,
+	// at most one side reaches most of them.
 	Seeds, SeedsReached int
-	// JustStarted nodes have just started, and may not know all others yet.
+	// JustStarted reports that the node has just started and may not know all others yet.
 	JustStarted bool
-	// ColdStart says that nearly all others have just started too: nobody used their parts since this process began.
+	// ColdStart reports that nearly all other nodes have just started too: no share was in use before this process
+	// began.
 	ColdStart bool
 }
 
-// withSettledSharers returns the view that parts are dealt by: who shared of late counts, and the node itself once others count it.
-// One that hears too few others has no part, and may no longer count among those that hear each other. One that is the whole
-// fleet has nobody to wait for, and one that has just started does not wait: where all have, one after the other, nobody
-// would have a part for as long.
+// withSettledSharers returns the view from which shares are computed. It counts nodes that shared recently, and this
+// node only once the others count it. A node that is in contact with too few others holds no share, and the rest may no
+// longer count it. The only node of a fleet has nobody to wait for. A starting node doesn't wait either: if all nodes
+// restarted one after the other, none would hold a share in the meantime.
 func (v View) withSettledSharers(s *assign.Sharers, now clock.Millis) View {
 	count, settled := s.Observe(v.Sharers, v.IsSharer && v.HasEnoughPeers(), v.ColdStart || v.JustStarted || max(v.Live, v.PeakLive) <= 1, now)
 	if len(v.Sharers) > 0 {
@@ -50,33 +52,33 @@
 	return v
 }
 
-// HasEnoughPeers says whether the node hears enough others to know its part, and that of the rest.
+// HasEnoughPeers reports whether the node is in contact with enough others to know its share and that of the rest.
 func (v View) HasEnoughPeers() bool {
 	return !v.Isolated && v.ReachedMostSeeds() && float64(v.Live) > keepShare*float64(v.PeakLive)
 }
 
-// ReachedMostSeeds says whether the process hears most of the nodes that it was told of.
+// ReachedMostSeeds reports whether the process is in contact with most of the configured seeds.
 func (v View) ReachedMostSeeds() bool {
 	return float64(v.SeedsReached) >= majorityShare*float64(v.Seeds)
 }
 
-// ReachedAllSeeds says whether the process has met all of the nodes that it was told of.
+// ReachedAllSeeds reports whether the process is in contact with all of the configured seeds.
 func (v View) ReachedAllSeeds() bool {
 	return v.SeedsReached >= v.Seeds
 }
 
-// incompleteShare is the part of the limits that is dealt by nodes that have not met all that they were told of. If a cut
-// moves as a fleet starts, another side may have dealt just before, and goes on until it notices that it hears too few: both
-// have the whole at most.
+// incompleteShare is the fraction of the limits that nodes use before they were in contact with all configured seeds.
+// If a network partition moves while a fleet starts, another side may have divided the limits just before, and goes on
+// until it notices that it has too few peers; both sides together then use at most the whole.
 const incompleteShare = 0.5
 
-// A seedContact is since when a process that has not met all named nodes has heard most of them.
+// seedContact tracks since when a process has been in contact with most of its seeds.
 type seedContact struct {
 	since       clock.Millis
 	reachedMost bool
 }
 
-// fraction returns which fraction of its share the node may use by now.
+// fraction returns the fraction of its share that the node may use now.
 func (m *seedContact) fraction(v View, now clock.Millis) float64 {
 	if !m.reachedMost {
 		m.since = now
@@ -88,8 +90,8 @@
 	return incompleteShare
 }
 
-// Share returns the node's part of each limit, if it had the one held: parts add up to one at most, whoever hears
-// whom.
+// Share returns the node's share of each limit, given its current one. Shares add up to at most one, whichever nodes
+// are in contact.
 func (v View) Share(current float64) float64 {
 	reachable := float64(v.Live) / float64(max(v.PeakLive, v.Live, 1))
 	switch {
