--- a/limit/ledger.go
+++ b/limit/ledger.go
@@ -7,53 +7,53 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// slotsPerWindow is how many parts of a window a ledger tells apart. What is taken within one of them counts as taken at
-// the last of its times, so a workspace at its limit for long loses half a slot in a window, 2 in 100.
+// slotsPerWindow is the time resolution of a ledger. What is taken within a slot counts as taken at its latest time, so
+// a workspace that stays at its limit loses half a slot per window, 2 %.
 const slotsPerWindow = 25
 
-// An allocation is what the node had of each limit from then on.
+// allocation is the share of each limit that the node holds from a time on.
 type allocation struct {
 	at    clock.Millis
 	share float64
 }
 
-// A grant is what a workspace's limit comes to on this node.
+// grant is a node's quota of one workspace's limit.
 type grant struct {
 	window clock.Millis
-	// perMilli is what the whole fleet is given by the millisecond, capacity what it may save, and initial what it had when
-	// the first of the parts began.
+	// perMilli is what the whole fleet accrues per millisecond, capacity what it may save, and initial what it had when
+	// the first allocation began.
 	perMilli, capacity, initial float64
-	// allocations are the node's allocations of that, the oldest first. There is one at least.
+	// allocations are sorted by time, the earliest first. There is at least one.
 	allocations []allocation
 }
 
-// ownCapacity is how much this node may save.
+// ownCapacity returns how much this node may save.
 func (g grant) ownCapacity() float64 {
 	return g.capacity * g.allocations[len(g.allocations)-1].share
 }
 
-// A ledger holds what was taken from one account within the last window. In any time from s to t that is no longer,
-// a node may take so much:
+// ledger records what was taken from an account within the last window. In any interval from s to t no longer than
+// that, a node may take at most
 //
-//	capacity x its least part from s to t + perMilli x (its part, summed over the milliseconds from s to t)
+//	capacity x its least share from s to t + perMilli x (its share, summed over the milliseconds from s to t)
 //
-// Parts add up to one at any time, so all nodes together take capacity + perMilli x (t - s), however the parts move. What
-// was taken longer ago than a window no longer counts: a workspace that asks more than it is given by the second for
-// long gets, in each window, what may be saved besides.
+// Shares add up to at most one at any time, so all nodes together take at most capacity + perMilli x (t - s), however
+// the shares change. What was taken more than a window ago no longer counts: a workspace that constantly asks for more
+// than accrues gets, in each window, the capacity on top.
 type ledger struct {
-	// slots are times when something was taken or came in, the oldest first.
+	// slots are sorted by time, the earliest first.
 	slots []slot
 }
 
-// A slot is what was taken and what came in within a short time.
+// slot records what was taken and credited within a short time.
 type slot struct {
 	first, last     clock.Millis
 	taken, credited float64
-	// borrowed counts requests that ran on what was borrowed and not saved.
+	// borrowed counts requests admitted on loans that were not saved.
 	borrowed int
 }
 
-// trim drops what no longer counts.
+// trim drops slots that are older than the window.
 func (l *ledger) trim(g grant, now clock.Millis) {
 	n := 0
 	for n < len(l.slots) && l.slots[n].last < now-g.window {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A walk goes back in time from now, and keeps what may be taken from then on, and what was.
+// walk goes back in time from now, summing up what may be taken since then and what was.
 type walk struct {
 	g        grant
 	at       clock.Millis
@@ -72,12 +72,12 @@
 	minShare float64
 	accrued  float64
 	taken    float64
-	// credited is what came in since creditedFrom, and counts for times before it.
+	// credited is what was credited since creditedFrom; it counts for earlier times only.
 	credited     float64
 	creditedFrom clock.Millis
 }
 
-// moveTo moves to an earlier time within the same part.
+// moveTo moves to an earlier time within the same allocation.
 func (w *walk) moveTo(to clock.Millis) {
 	if to < w.at {
 		w.accrued += w.g.perMilli * w.g.allocations[w.index].share * float64(w.at-to)
@@ -85,12 +85,12 @@
 	}
 }
 
-// remaining is what may still be taken from that time on.
+// remaining returns how much of the bound since that time is left.
 func (w *walk) remaining() float64 {
 	return w.g.capacity*w.minShare + w.accrued - w.taken
 }
 
-// enterPrevious moves to just before the present part began.
+// enterPrevious moves to just before the current allocation began.
 func (w *walk) enterPrevious() {
 	w.moveTo(w.g.allocations[w.index].at)
 	if w.at <= w.creditedFrom {
@@ -101,7 +101,7 @@
 	w.minShare = min(w.minShare, w.g.allocations[w.index].share)
 }
 
-// eachBound calls f with all times from which on what is taken is bounded, and what is left of that bound.
+// eachBound calls f with each time since which the amount taken is bounded, and what is left of that bound.
 func (l *ledger) eachBound(g grant, now clock.Millis, f func(from clock.Millis, left float64)) {
 	w := walk{g: g, at: now, index: len(g.allocations) - 1, minShare: g.allocations[len(g.allocations)-1].share}
 	f(now, w.remaining())
@@ -126,7 +126,7 @@
 	}
 }
 
-// balance is how much may be taken now.
+// balance returns how much may be taken now. It is negative if too much was taken.
 func (l *ledger) balance(g grant, now clock.Millis) float64 {
 	l.trim(g, now)
 	if last := len(g.allocations) - 1; g.allocations[last].at < now-g.window {
@@ -137,7 +137,7 @@
 	return balance
 }
 
-// steadyBalance is the same while the node's part is what it was a window ago, as it nearly always is.
+// steadyBalance computes the balance for the usual case that the share has not changed within the window.
 func (l *ledger) steadyBalance(g grant, share float64, now clock.Millis) float64 {
 	most, perMilli := g.capacity*share, g.perMilli*share
 	balance, taken := most, 0.0
@@ -150,7 +150,7 @@
 	return balance
 }
 
-// waitTime is how long it takes until one request may be taken.
+// waitTime returns how long it takes until one request may be taken.
 func (l *ledger) waitTime(g grant, now clock.Millis) clock.Millis {
 	perMilli := g.perMilli * g.allocations[len(g.allocations)-1].share
 	if perMilli <= 0 {
@@ -164,8 +164,8 @@
 	return wait
 }
 
-// reset makes a limit that was changed the one that counts: there is so much now, and what was lent a moment ago still
-// counts, since whoever borrowed it may use it yet.
+// reset starts over under a changed limit, with the given balance. Slots in the future, which hold what was lent
+// recently, still count, since the borrower may yet use it.
 func (l *ledger) reset(g grant, balance float64, now clock.Millis) {
 	l.slots = slices.DeleteFunc(l.slots, func(s slot) bool { return s.last <= now })
 	for i := range l.slots {
@@ -176,7 +176,7 @@
 	}
 }
 
-// slot returns the one of that time. None reaches over a change of parts.
+// slot returns the slot for a time, which it adds if needed. No slot spans a change of allocation.
 func (l *ledger) slot(g grant, at clock.Millis) *slot {
 	width := max(g.window/slotsPerWindow, 1)
 	first := max(at-at%width, min(g.allocations[len(g.allocations)-1].at, at))
@@ -193,18 +193,17 @@
 	return s
 }
 
-// debit notes that so much was taken.
 func (l *ledger) debit(g grant, amount float64, at clock.Millis) {
 	l.slot(g, at).taken += amount
 }
 
-// credit takes in what came from elsewhere as far as it can be saved, and returns the rest.
+// credit adds a loan as far as it can be saved, and returns the rest.
 func (l *ledger) credit(g grant, amount float64, now clock.Millis) (rest float64) {
 	s := l.slot(g, now)
 	first, balance, room := s.first, math.Inf(1), g.ownCapacity()
 	l.eachBound(g, now, func(from clock.Millis, left float64) {
 		balance = min(balance, left)
-		if from >= first { // what comes in now does not count for times that begin after it
+		if from >= first { // a credit doesn't count for bounds that begin after it
 			room = min(room, left)
 		}
 	})
@@ -213,7 +212,7 @@
 	return amount - credited
 }
 
-// refund undoes what one request took at that time.
+// refund reverts the debit of one request at the given time.
 func (l *ledger) refund(at clock.Millis) {
 	for i := len(l.slots) - 1; i >= 0; i-- {
 		s := &l.slots[i]
