--- a/limit/table.go
+++ b/limit/table.go
@@ -12,52 +12,53 @@
 )
 
 const (
-	// minAskInterval is the least time between two questions for a workspace, and maxAskInterval the time after several that
-	// brought nothing: what cannot be had is not asked for as often as requests come.
+	// minAskInterval is the least time between two loan requests for a workspace. It doubles up to maxAskInterval while
+	// they bring nothing, so that loan requests are rarer than the requests that need them.
 	minAskInterval clock.Millis = 40
 	maxAskInterval clock.Millis = 640
-	// loanSpan is for how much of the usual work is borrowed at once.
+	// loanSpan is the span of expected demand that is borrowed at once.
 	loanSpan clock.Millis = 300
-	// askShare is the part of that which each of those that are asked is asked for: some have nothing to spare. What
-	// comes beyond need lapses or lies idle.
+	// askShare is the fraction of it requested from each lender, as some have nothing to spare. What exceeds the need
+	// expires or stays unused.
 	askShare = 0.2
-	// maxTickGap is how long a process that runs is never without a look at the time: after more it stood still, and
-	// others may have been given its part.
+	// maxTickGap is the longest time between ticks of a running process. After a longer gap the process was paused, and
+	// its share may have been given to others.
 	maxTickGap clock.Millis = 700
-	// maxAccounts bounds the workspaces that are kept; those unused for idleTimeout are forgotten first.
-	maxAccounts         = 1 << 14
-	idleTimeout         = 1 * clock.Minute
-	minLoan     float64 = 0.01
+	// maxAccounts bounds the number of workspaces; those unused for idleTimeout are evicted first.
+	maxAccounts = 1 << 14
+	idleTimeout = 1 * clock.Minute
+	// minLoan is the smallest amount lent, in requests.
+	minLoan float64 = 0.01
 )
 
-// A Table struct holds what one node may still admit, by workspace. It is safe for concurrent use.
+// Table admits requests on one node, by workspace. It is safe for concurrent use.
 type Table struct {
 	clock  clock.Clock
 	bounds Bounds
 
 	mu       sync.Mutex
 	accounts map[ident.Workspace]*account
-	// allocations are the node's allocations of each limit within the last window, and the one before.
+	// allocations are those of the last window, and the one before.
 	allocations []allocation
-	// startedAt is when the process did.
+	// startedAt is when the process started.
 	startedAt clock.Millis
 	tickedAt  clock.Millis
-	// coldStart says that all nodes started with this process: it has what fleets have when they start.
+	// coldStart reports that the whole fleet started with this process, so that it has the initial quota.
 	coldStart   bool
 	sharers     *assign.Sharers
 	seedContact seedContact
-	// nominalShare is the node's share, of which it may use a part.
+	// nominalShare is the node's share, of which it may use a fraction.
 	nominalShare float64
 }
 
-// New returns a table of a node that has just started: it has no part of any limit yet.
+// New returns a table for a node that has just started and holds no share yet.
 func New(c clock.Clock, b Bounds) *Table {
 	now := c.Now()
 	return &Table{clock: c, bounds: b, accounts: map[ident.Workspace]*account{}, allocations: []allocation{{at: now}}, startedAt: now, tickedAt: now, sharers: assign.NewSharers()}
 }
 
-// Tick says that the process runs, and what its part of each limit is by its view of the others. It returns the part,
-// and whether it has changed.
+// Tick must be called regularly while the process runs. It updates the node's share from its view of the fleet, and
+// returns it and whether it has changed.
 func (t *Table) Tick(v View) (share float64, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,8 +77,8 @@
 	return share, share != previous
 }
 
-// checkPause takes the part back that a process had while it stood still: others may have used it. What is asked of the table
-// comes here first, since a process that wakes reads requests before it looks at the time.
+// checkPause drops the share of a process that was paused, since others may have used it. Take, Retry, Refuse and Lend
+// check this first, because a resumed process may handle requests before its next tick.
 func (t *Table) checkPause(now clock.Millis) {
 	if now-t.tickedAt <= maxTickGap || t.currentShare() == 0 {
 		return
@@ -87,7 +88,7 @@
 	t.dropLoans()
 }
 
-// setShare notes another part, and drops those that no longer count.
+// setShare adds an allocation and drops those that no longer count.
 func (t *Table) setShare(at clock.Millis, share float64) {
 	n := 0
 	for n+1 < len(t.allocations) && t.allocations[n+1].at < at-t.bounds.Window-loanTTL {
@@ -96,19 +97,17 @@
 	t.allocations = append(slices.Delete(t.allocations, 0, n), allocation{at: at, share: share})
 }
 
-// dropLoans forgets what was borrowed.
 func (t *Table) dropLoans() {
 	for _, a := range t.accounts {
 		a.loans = nil
 	}
 }
 
-// currentShare is what the node has of each limit now.
 func (t *Table) currentShare() float64 {
 	return t.allocations[len(t.allocations)-1].share
 }
 
-// Share returns the node's part of each limit.
+// Share returns the node's share of each limit.
 func (t *Table) Share() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,7 +118,7 @@
 	return t.bounds.grant(r, t.allocations, t.coldStart)
 }
 
-// account returns the workspace's account, and what it is given now.
+// account returns the workspace's account, which it opens if needed, and its current grant.
 func (t *Table) account(w ident.Workspace, r Rate, now clock.Millis) (*account, grant) {
 	t.checkPause(now)
 	g := t.grant(r)
@@ -139,8 +138,8 @@
 	return a, g
 }
 
-// evict drops accounts that were not used for long, or for a window at least if that is not enough: they are full, and
-// one opened anew is too. All go if none is.
+// evict drops accounts unused for idleTimeout or, if that isn't enough, for a window: their quota is full, as that of a
+// new account is. If neither is enough, it drops all, and quota accrues from zero.
 func (t *Table) evict(now clock.Millis) {
 	for _, idle := range []clock.Millis{idleTimeout, t.bounds.Window + loanTTL} {
 		maps.DeleteFunc(t.accounts, func(_ ident.Workspace, a *account) bool { return now-a.usedAt > idle })
@@ -152,15 +151,15 @@
 	t.allocations, t.coldStart = []allocation{{at: now, share: t.currentShare()}}, false
 }
 
-// A LoanRequest struct is what to ask other nodes for.
+// LoanRequest is a request to other nodes for quota.
 type LoanRequest struct {
 	Workspace ident.Workspace
 	Amount    float64
 	Seq       uint64
 }
 
-// Take admits one request if the node has a part of the limit left for it. It may say what to ask others for, also
-// when the request is admitted: before the node runs out.
+// Take admits a request if the node has quota for it. It may return a loan request to send to other nodes, also when
+// the request is admitted, so that the node doesn't run out.
 func (t *Table) Take(w ident.Workspace, r Rate) (admitted bool, q *LoanRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,7 +174,7 @@
 	return admitted, t.loanRequest(w, a, admitted, available, now)
 }
 
-// Retry admits a request that was not admitted before, if there is something for it by now.
+// Retry admits a request that Take didn't, if there is quota for it by now.
 func (t *Table) Retry(w ident.Workspace, r Rate) (admitted bool, q *LoanRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,8 +188,7 @@
 	return false, t.loanRequest(w, a, false, available, now)
 }
 
-// Refuse counts a request that was not admitted, and returns when the node will have a part for one, and for those
-// that were refused before it.
+// Refuse counts a request that was not admitted, and returns how long it takes until there is quota for one request.
 func (t *Table) Refuse(w ident.Workspace, r Rate) clock.Millis {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,7 +198,7 @@
 	return a.ledger.waitTime(g, now)
 }
 
-// Refund gives back what was taken at that time for a request that did not run.
+// Refund gives back the quota taken at that time for a request that did not run.
 func (t *Table) Refund(w ident.Workspace, at clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -210,8 +208,8 @@
 	}
 }
 
-// loanRequest says what to ask others for, if the node lacks what a request needs or runs short of its usual work, and may
-// ask now.
+// loanRequest returns a loan request if a request lacks quota, or the node runs short of its expected demand, and the
+// interval since the last one has passed.
 func (t *Table) loanRequest(w ident.Workspace, a *account, admitted bool, available float64, now clock.Millis) *LoanRequest {
 	want := 1 + a.expected(loanSpan)
 	if admitted && available >= want/2 || now < a.nextAskAt {
@@ -224,7 +222,7 @@
 	return &LoanRequest{Workspace: w, Amount: want * askShare, Seq: a.seq}
 }
 
-// LoanPending says whether an answer to the last question may still come and be used.
+// LoanPending reports whether a loan may still arrive for a request sent within the given time.
 func (t *Table) LoanPending(w ident.Workspace, within clock.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,7 +230,7 @@
 	return a != nil && a.seq > 0 && t.clock.Now()-a.askedAt < within
 }
 
-// Lend hands over up to so much to another node, and keeps what this one is about to need.
+// Lend debits up to the amount for another node and returns it, less what this node expects to need itself.
 func (t *Table) Lend(w ident.Workspace, r Rate, amount float64) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,14 +245,14 @@
 	return given
 }
 
-// AddLoan takes in what another node handed over for a question, once.
+// AddLoan credits a loan that another node granted, once per lender and loan request.
 func (t *Table) AddLoan(w ident.Workspace, from ident.Node, amount float64, seq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.accounts[w]
 	now := t.clock.Now()
 	if a == nil || seq != a.seq || now-a.askedAt >= loanTTL || !(amount > 0) || slices.Contains(a.lenders, from) {
-		return // whoever lent it has less, and nobody has more
+		return // the lender has less, and nobody has more
 	}
 	a.lenders = append(a.lenders, from)
 	if rest := a.ledger.credit(t.grant(a.rate), amount, now); rest > 0 {
@@ -264,16 +262,16 @@
 	a.askInterval, a.nextAskAt = minAskInterval, a.askedAt+minAskInterval
 }
 
-// A Usage struct is what a workspace made of its limit on this node.
+// Usage is what a workspace used of its limit on this node.
 type Usage struct {
 	Workspace     ident.Workspace
 	Rate          Rate
 	Used, Refused uint64
-	// Available is what the node may still admit now.
+	// Available is how many requests the node can admit now.
 	Available float64
 }
 
-// Usage returns what the workspaces made of their limits, the ones with the most requests first.
+// Usage returns the usage of all workspaces, those with the most requests first.
 func (t *Table) Usage() []Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -16,7 +16,7 @@
 	singleNode = limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1}
 )
 
-// singleNodeTable returns a table of a node that is the whole fleet, and has long been.
+// singleNodeTable returns the table of a node that has long been the whole fleet.
 func singleNodeTable(c *clock.Manual) *limit.Table {
 	t := limit.New(c, bounds)
 	for range 100 {
@@ -26,8 +26,8 @@
 	return t
 }
 
-// TestAnyWindowHolds compares a table with a plain counter of what was admitted, under requests, gains and losses of
-// its part, standstills and loans in any order.
+// TestAnyWindowHolds compares a table with a plain counter of admitted requests, under requests, gains and losses of
+// its share, pauses and loans in any order.
 func TestAnyWindowHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(50_000)
@@ -72,14 +72,14 @@
 		want float64
 	}{
 		{"one of six", limit.View{IsSharer: true, SharerCount: 6, Live: 97, PeakLive: 97}, 0, 1.0 / 6},
-		{"no carrier", limit.View{SharerCount: 6, Live: 97, PeakLive: 97}, 0.2, 0},
-		{"most still heard", limit.View{IsSharer: true, SharerCount: 5, Live: 60, PeakLive: 97}, 1.0 / 6, 1.0 / 5},
-		{"half heard keeps what it had", limit.View{IsSharer: true, SharerCount: 3, Live: 49, PeakLive: 97}, 1.0 / 6, 1.0 / 6},
-		{"few heard has none", limit.View{IsSharer: true, SharerCount: 2, Live: 30, PeakLive: 97}, 1.0 / 6, 0},
-		{"never met anybody", limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1, Isolated: true}, 0, 0},
+		{"no sharer", limit.View{SharerCount: 6, Live: 97, PeakLive: 97}, 0.2, 0},
+		{"in contact with most", limit.View{IsSharer: true, SharerCount: 5, Live: 60, PeakLive: 97}, 1.0 / 6, 1.0 / 5},
+		{"in contact with half keeps its share", limit.View{IsSharer: true, SharerCount: 3, Live: 49, PeakLive: 97}, 1.0 / 6, 1.0 / 6},
+		{"in contact with few has none", limit.View{IsSharer: true, SharerCount: 2, Live: 30, PeakLive: 97}, 1.0 / 6, 0},
+		{"isolated", limit.View{IsSharer: true, SharerCount: 1, Live: 1, PeakLive: 1, Isolated: true}, 0, 0},
 		{"just started", limit.View{IsSharer: true, SharerCount: 2, Live: 5, PeakLive: 5, JustStarted: true}, 0, 1.0 / 16},
-		{"started, and met most that were named", limit.View{IsSharer: true, SharerCount: 4, Live: 30, PeakLive: 30, Seeds: 3, SeedsReached: 2}, 0, 1.0 / 4},
-		{"started, and met few that were named", limit.View{IsSharer: true, SharerCount: 4, Live: 30, PeakLive: 30, Seeds: 3, SeedsReached: 1}, 0, 0},
+		{"most seeds reached", limit.View{IsSharer: true, SharerCount: 4, Live: 30, PeakLive: 30, Seeds: 3, SeedsReached: 2}, 0, 1.0 / 4},
+		{"few seeds reached", limit.View{IsSharer: true, SharerCount: 4, Live: 30, PeakLive: 30, Seeds: 3, SeedsReached: 1}, 0, 0},
 		{"the whole fleet", singleNode, 0, 1},
 	}
 	for _, c := range cases {
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestProcessThatHasJustStartedHasAPart has a process start among others that run. It waited for them to count it; where all
-// nodes had started one after the other nobody had a part for three seconds, and 31 nodes served 4.0 s after all were
-// killed, in place of 1.0: 6.3 of 100 requests were refused on that day, in place of 1.9.
+// TestProcessThatHasJustStartedHasAPart starts a process among running ones. When it waited until the others counted
+// it, no node held a share for three seconds if all had restarted one after the other: 31 nodes served 4.0 s after all
+// were killed, instead of 1.0, and 6.3 % of a day's requests were refused instead of 1.9 %.
 func TestProcessThatHasJustStartedHasAPart(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
@@ -105,7 +105,7 @@
 	is.Equal(share, 1.0/3)
 }
 
-// TestStandstillIsNoSaving has a process stand still for as long as would fill its account.
+// TestStandstillIsNoSaving pauses a process for as long as would fill its account.
 func TestStandstillIsNoSaving(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
@@ -117,12 +117,12 @@
 	c.Advance(10 * clock.Second)
 	table.Tick(singleNode)
 	ok, _ := table.Take("w", r)
-	is.True(!ok) // others may have been given its part
+	is.True(!ok) // others may have been given its share
 }
 
-// TestStandstillIsNoSavingBeforeTheNextTick has a process stand still and wake. Requests that came meanwhile are read at
-// once, and ask before the process has looked at the time: of six nodes that did so one after the other in a window,
-// each made its part once more while the others had made it already. Five of five requests were admitted that way.
+// TestStandstillIsNoSavingBeforeTheNextTick pauses and resumes a process that then handles queued requests before its
+// next tick. Five of five requests were admitted that way. Six nodes that did so one after the other in a window each
+// used their share once more, while the others had used it already.
 func TestStandstillIsNoSavingBeforeTheNextTick(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
@@ -130,24 +130,24 @@
 	r := limit.Rate{PerSecond: 10, Burst: 10}
 	c.Advance(4 * clock.Second)
 	ok, q := table.Take("w", r)
-	is.True(!ok)                                 // others may have been given its part
-	is.Equal(table.Lend("w", r, 5), 0.0)         // nor is that lent
-	table.AddLoan("w", "n1", 1.5, max(q.Seq, 1)) // what was asked for after it woke is good
+	is.True(!ok)                                 // others may have been given its share
+	is.Equal(table.Lend("w", r, 5), 0.0)         // nor may it lend it
+	table.AddLoan("w", "n1", 1.5, max(q.Seq, 1)) // a loan requested after it resumed is valid
 	ok, _ = table.Retry("w", r)
 	is.True(ok)
 }
 
-// TestLoans asks for what is lacking, takes an answer once, and none that comes late.
+// TestLoans requests missing quota and accepts a loan once, and none that arrives late.
 func TestLoans(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
-	table := limit.New(c, bounds) // a node without a part
+	table := limit.New(c, bounds) // a node without a share
 	r := limit.Rate{PerSecond: 10, Burst: 10}
 	ok, q := table.Take("w", r)
 	is.True(!ok)
 	is.True(q != nil)
 	table.AddLoan("w", "n1", 1.5, q.Seq)
-	table.AddLoan("w", "n1", 1.5, q.Seq) // the same again
+	table.AddLoan("w", "n1", 1.5, q.Seq) // a duplicate
 	ok, _ = table.Retry("w", r)
 	is.True(ok)
 	ok, _ = table.Retry("w", r)
@@ -160,7 +160,7 @@
 	is.True(!ok)
 }
 
-// TestLateLoanIsLost has a node that has a part of its own run out, and hear of a loan a second after it asked.
+// TestLateLoanIsLost has a node with a share of its own run out, and receive a loan 600 ms after it asked.
 func TestLateLoanIsLost(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
@@ -179,7 +179,7 @@
 	is.True(!ok)
 }
 
-// TestReturnedRequestsCountAgain gives back what was taken for requests that did not run.
+// TestReturnedRequestsCountAgain refunds a request that did not run.
 func TestReturnedRequestsCountAgain(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
@@ -197,8 +197,8 @@
 	is.True(ok)
 }
 
-// TestManyWorkspacesAsk has more workspaces ask in a minute than are kept. Those that come later have what they may ask
-// all the same, and one that has used it up still has nothing.
+// TestManyWorkspacesAsk uses more workspaces in a minute than the table keeps. Later ones must still get their quota,
+// and one that has used up its own must not get it again.
 func TestManyWorkspacesAsk(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
@@ -225,7 +225,7 @@
 	is.True(!ok)
 }
 
-// BenchmarkTake has many workspaces ask in turn: 0.32 us a request on a busy machine, and nothing is allocated.
+// BenchmarkTake takes requests of many workspaces in turn: 0.32 us each on a busy machine, without allocations.
 func BenchmarkTake(b *testing.B) {
 	c := clock.NewManual(50_000)
 	table := singleNodeTable(c)
