--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/tinladder/tinladder/limit"
 )
 
-// A fleet is nodes in virtual time that share limits, with messages that take time and get lost.
+// fleet simulates nodes in virtual time that share limits, with messages that are delayed and get lost.
 type fleet struct {
 	t      reporter
 	clock  *clock.Manual
@@ -21,20 +21,20 @@
 	nodes  []*node
 	// carriers is how many nodes callers are sent to.
 	carriers int
-	// lending says that nodes lend each other, lossRate is the share of messages that do not arrive.
+	// lending reports whether nodes lend each other quota, and lossRate is the fraction of messages that are lost.
 	lending  bool
 	lossRate float64
-	// detectionDelay is how long a node takes others for heard that it does not hear any more.
+	// detectionDelay is how long a node takes to notice that it has lost contact with another one.
 	detectionDelay clock.Millis
 	waiting        []waiter
-	// inFlight is what is on its way, in order.
+	// inFlight are messages that have not been delivered, in the order of sending.
 	inFlight []message
-	// admitted are the times of requests that were admitted, by workspace, and refused counts the others.
+	// admitted are the times of admitted requests by workspace, and refused counts the others.
 	admitted map[ident.Workspace][]clock.Millis
 	refused  map[ident.Workspace]int
 }
 
-// A reporter is a test of either kind.
+// reporter is the part of testing.T and rapid.T that is used here.
 type reporter interface {
 	Helper()
 	Logf(format string, args ...any)
@@ -51,13 +51,13 @@
 	side            int
 	down            bool
 	paused          bool
-	// heardAt is when the node last heard each other one.
+	// heardAt is when the node was last in contact with each other one.
 	heardAt map[*node]clock.Millis
-	// suspectedUntil are until when this node does not take others for such that callers may be sent to, though it hears them.
+	// suspectedUntil is until when the node sends no callers to others, although it is in contact with them.
 	suspectedUntil map[*node]clock.Millis
 }
 
-// pausableClock is a node's clock, which runs on while the node stands still.
+// pausableClock is a node's clock, which advances while the node is paused.
 type pausableClock struct{ clock.Clock }
 
 type message struct {
@@ -73,7 +73,7 @@
 	window  = 5 * clock.Second
 	step    = 10
 	latency = 10
-	// loanWait is how long a request waits for a loan.
+	// loanWait is how long a request waits for a loan, in ms.
 	loanWait = 30
 )
 
@@ -91,19 +91,19 @@
 	return f
 }
 
-// start starts a node's process anew.
+// start starts a new process for the node.
 func (f *fleet) start(n *node) {
 	n.clock = &pausableClock{f.clock}
 	n.table, n.startedAt, n.down, n.known, n.reachedAllSeeds = limit.New(n.clock, f.bounds), f.clock.Now(), false, 0, false
 	n.heardAt = map[*node]clock.Millis{}
 }
 
-// connected says whether messages go from one node to the other.
+// connected reports whether messages can pass between two nodes.
 func (f *fleet) connected(a, b *node) bool {
 	return !a.down && !b.down && a.side == b.side
 }
 
-// considersReachable says whether a node takes the other one for heard.
+// considersReachable reports whether node n counts m as in contact.
 func (f *fleet) considersReachable(n, m *node) bool {
 	now := f.clock.Now()
 	if m == n || f.connected(n, m) {
@@ -114,7 +114,7 @@
 	return heard && now-at < f.detectionDelay
 }
 
-// view is what a node sees, and who carries by it: the first ones that it hears.
+// view returns what a node knows of the fleet. The sharers are the first nodes that it is in contact with.
 func (f *fleet) view(n *node) limit.View {
 	v := limit.View{SharerCount: 0}
 	fresh := true
@@ -125,7 +125,7 @@
 		}
 		v.Live++
 		if f.connected(n, m) {
-			n.known = max(n.known, m.known) // nodes tell each other when they meet
+			n.known = max(n.known, m.known) // nodes exchange this on first contact
 		}
 		if v.SharerCount < f.carriers && n.suspectedUntil[m] <= now {
 			v.SharerCount++
@@ -135,7 +135,7 @@
 		fresh = fresh && max(m.startedAt-n.startedAt, n.startedAt-m.startedAt) < 3*clock.Second
 	}
 	n.known = max(n.known, v.Live)
-	for _, i := range slices.Compact([]int{0, len(f.nodes) / 2, len(f.nodes) - 1}) { // named in the settings
+	for _, i := range slices.Compact([]int{0, len(f.nodes) / 2, len(f.nodes) - 1}) { // the configured seeds
 		v.Seeds++
 		if f.considersReachable(n, f.nodes[i]) {
 			v.SeedsReached++
@@ -149,7 +149,7 @@
 	return v
 }
 
-// run runs the fleet for a while. Ask returns how many requests a second each workspace sends to the node.
+// run runs the fleet for a span. Ask returns how many requests per second each workspace sends to a node.
 func (f *fleet) run(span clock.Millis, rates map[ident.Workspace]limit.Rate, ask func(w ident.Workspace, n *node) float64) {
 	for range span / step {
 		f.clock.Advance(step)
@@ -189,7 +189,7 @@
 	}
 }
 
-// retryWaiting admits requests that wait for what their nodes asked for, and refuses those that waited long enough.
+// retryWaiting admits waiting requests whose loans have arrived, and refuses those that waited for too long.
 func (f *fleet) retryWaiting() {
 	waiting := f.waiting
 	f.waiting = nil
@@ -209,7 +209,7 @@
 	}
 }
 
-// A waiter is a request that waits at a node.
+// waiter is a request that waits at a node for a loan.
 type waiter struct {
 	node  *node
 	w     ident.Workspace
@@ -232,7 +232,7 @@
 	f.inFlight = append(f.inFlight, m)
 }
 
-// deliver hands over what has arrived; what arrives at a node that stands still waits there.
+// deliver delivers messages that are due; those to a paused node stay in flight.
 func (f *fleet) deliver() {
 	mail := f.inFlight
 	f.inFlight = nil
@@ -259,7 +259,7 @@
 
 func (f *fleet) rateOf(w ident.Workspace) limit.Rate { return rates[w] }
 
-// check fails if any window has more than the bounds allow, and returns the share that was refused.
+// check fails if any window exceeds the bounds, and returns the fraction of requests refused.
 func (f *fleet) check(name string) (refused float64) {
 	f.t.Helper()
 	all, refusedCount := 0, 0
@@ -282,7 +282,7 @@
 	return float64(refusedCount) / float64(max(all, 1))
 }
 
-// evenLoad is what workspaces send when all is well: some rate / 1.6, to the carriers alike.
+// evenLoad spreads a multiple of the normal load, which is rate / 1.6, evenly over the carriers.
 func (f *fleet) evenLoad(times float64) func(w ident.Workspace, n *node) float64 {
 	return func(w ident.Workspace, n *node) float64 {
 		if n.id >= f.carriers {
@@ -292,7 +292,7 @@
 	}
 }
 
-// loadOnTwo sends all of a workspace's requests to two nodes.
+// loadOnTwo sends all requests of a workspace to two nodes.
 func (f *fleet) loadOnTwo(times float64) func(w ident.Workspace, n *node) float64 {
 	return func(w ident.Workspace, n *node) float64 {
 		if n.id > 1 {
@@ -302,8 +302,8 @@
 	}
 }
 
-// TestLimitHolds floods the fleet while things go wrong with it. No window has more than the bounds allow, whatever
-// the fleet knows of itself.
+// TestLimitHolds overloads the fleet during faults. No window may exceed the bounds, whatever the nodes know of each
+// other.
 func TestLimitHolds(t *testing.T) {
 	t.Parallel()
 	const flood = 8
@@ -311,9 +311,9 @@
 		name string
 		play func(f *fleet)
 	}{
-		{"hot workspaces", func(f *fleet) { f.run(20*clock.Second, rates, f.evenLoad(flood)) }},
-		{"hot workspaces on two nodes", func(f *fleet) { f.run(20*clock.Second, rates, f.loadOnTwo(flood)) }},
-		{"calm, then hot", func(f *fleet) {
+		{"overload", func(f *fleet) { f.run(20*clock.Second, rates, f.evenLoad(flood)) }},
+		{"overload on two nodes", func(f *fleet) { f.run(20*clock.Second, rates, f.loadOnTwo(flood)) }},
+		{"idle, then overload", func(f *fleet) {
 			f.run(10*clock.Second, rates, f.evenLoad(0.1))
 			f.run(10*clock.Second, rates, f.evenLoad(flood))
 		}},
@@ -321,19 +321,19 @@
 			f.lossRate = 0.3
 			f.run(20*clock.Second, rates, f.loadOnTwo(flood))
 		}},
-		{"cut in halves", func(f *fleet) {
+		{"split in halves", func(f *fleet) {
 			f.run(8*clock.Second, rates, f.evenLoad(0.1))
 			f.partition(len(f.nodes) / 2)
 			f.run(20*clock.Second, rates, f.loadOnAll(flood))
 		}},
-		{"a third cut off, and back", func(f *fleet) {
+		{"a third split off, and healed", func(f *fleet) {
 			f.run(8*clock.Second, rates, f.evenLoad(0.1))
 			f.partition(len(f.nodes) / 3)
 			f.run(10*clock.Second, rates, f.loadOnAll(flood))
 			f.partition(0)
 			f.run(10*clock.Second, rates, f.loadOnAll(flood))
 		}},
-		{"in fifths", func(f *fleet) {
+		{"split in fifths", func(f *fleet) {
 			f.run(8*clock.Second, rates, f.evenLoad(0.1))
 			for i, n := range f.nodes {
 				n.side = i % 5
@@ -349,7 +349,7 @@
 			}
 			f.run(10*clock.Second, rates, f.evenLoad(flood))
 		}},
-		{"some killed again and again", func(f *fleet) {
+		{"some killed repeatedly", func(f *fleet) {
 			f.run(10*clock.Second, rates, f.evenLoad(0.1))
 			for i := range 10 {
 				n := f.nodes[i%f.carriers]
@@ -359,7 +359,7 @@
 				f.run(300, rates, f.evenLoad(flood))
 			}
 		}},
-		{"stand still and wake", func(f *fleet) {
+		{"pause and resume", func(f *fleet) {
 			f.run(10*clock.Second, rates, f.evenLoad(0.1))
 			for _, n := range f.nodes[:f.carriers/2] {
 				n.paused = true
@@ -382,11 +382,11 @@
 	}
 }
 
-// TestLimitHoldsUnderDoubts has nodes doubt each other for a while, each another few, as they do where messages are lost
-// and a process stands still. On four real nodes 73 to 81 requests of one workspace ran within 5 s where 72.8 are
-// allowed. Each took its part by how many nodes it just then would send callers to, and whoever is held suspect for a
-// moment is not among them, though it goes on with its part. Within two seconds one node said "carriers=1 live=4
-// share=1.0000", another "carriers=2 live=4 share=0.5000", two "carriers=4 live=4 share=0.2500".
+// TestLimitHoldsUnderDoubts has nodes suspect each other for a while, each a different few, as happens with message
+// loss and a paused process. When each node computed its share from the nodes that it would send callers to at the
+// moment, it left out suspected nodes although they kept using their shares: four real nodes admitted 73 to 81 requests
+// of a workspace in 5 s where 72.8 are allowed. Within two seconds one node logged "carriers=1 live=4 share=1.0000",
+// another "carriers=2 live=4 share=0.5000", and two "carriers=4 live=4 share=0.2500".
 func TestLimitHoldsUnderDoubts(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ nodes, carriers int }{{4, 4}, {30, 6}} {
@@ -398,20 +398,20 @@
 					f.suspectAtRandom(0.5)
 					f.run(2*clock.Second, rates, f.loadOnAll(8))
 				}
-				f.check("doubts")
+				f.check("suspicions")
 			})
 		}
 	}
 }
 
-// loadOnAll sends requests to the carriers, and to what nodes of each side take for carriers.
+// loadOnAll spreads requests evenly over all nodes, so that they reach the sharers on each side of a partition.
 func (f *fleet) loadOnAll(times float64) func(w ident.Workspace, n *node) float64 {
 	return func(w ident.Workspace, _ *node) float64 {
 		return times * rates[w].PerSecond / 1.6 / float64(len(f.nodes))
 	}
 }
 
-// partition puts every node before the one named on a side of its own.
+// partition separates the nodes before the given one from the rest; 0 ends the network partition.
 func (f *fleet) partition(first int) {
 	for i, n := range f.nodes {
 		n.side = 0
@@ -421,7 +421,7 @@
 	}
 }
 
-// suspectAtRandom has each node suspect some of the others for less than a suspicion lasts, all by chance.
+// suspectAtRandom has each node suspect a random fraction of the others, for less than a suspicion lasts.
 func (f *fleet) suspectAtRandom(share float64) {
 	for _, n := range f.nodes {
 		n.suspectedUntil = map[*node]clock.Millis{}
@@ -433,7 +433,7 @@
 	}
 }
 
-// killAll ends all processes, and starts them again after a while.
+// killAll kills all processes and restarts them after a while.
 func (f *fleet) killAll(down clock.Millis) {
 	for _, n := range f.nodes {
 		n.down = true
@@ -445,8 +445,8 @@
 	}
 }
 
-// TestUsualWorkIsAdmitted sends what workspaces usually do, evenly and to two nodes of six. Nodes that lend each other
-// refuse nearly nothing; by parts alone a quarter would be refused, and by parts of all nodes nearly all.
+// TestUsualWorkIsAdmitted sends normal load, evenly and to two nodes of six. With lending almost nothing may be
+// refused; with fixed shares of six nodes a quarter would be, and with fixed shares of all nodes nearly everything.
 func TestUsualWorkIsAdmitted(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -454,14 +454,14 @@
 		carriers int
 		lends    bool
 		uneven   bool
-		// least and most bound the share that is refused.
+		// least and most bound the fraction that is refused.
 		least, most float64
 	}{
 		{"lent, evenly", 6, true, false, 0, 0.01},
 		{"lent, to two nodes", 6, true, true, 0, 0.03},
-		{"parts of carriers, evenly", 6, false, false, 0.002, 0.5},
-		{"parts of carriers, to two nodes", 6, false, true, 0.2, 0.7},
-		{"parts of all nodes, to two nodes", 30, false, true, 0.8, 1},
+		{"shares of carriers, evenly", 6, false, false, 0.002, 0.5},
+		{"shares of carriers, to two nodes", 6, false, true, 0.2, 0.7},
+		{"shares of all nodes, to two nodes", 30, false, true, 0.8, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -481,8 +481,7 @@
 	}
 }
 
-// TestStartServesWhatComesBack ends all processes of a fleet for a second and a half, and sends what was missed at
-// once when they start again.
+// TestStartServesWhatComesBack kills all processes of a fleet for 1.5 s, and sends the backlog when they restart.
 func TestStartServesWhatComesBack(t *testing.T) {
 	f := newFleet(t, 30, 6, true, 7)
 	f.run(20*clock.Second, rates, f.evenLoad(1))
