--- a/limit/long_test.go
+++ b/limit/long_test.go
@@ -8,8 +8,8 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// TestLongAtTheRate has one workspace ask 1.2 times its rate for 20 s, which no window forbids: it gets 0.97 of its
-// rate at least, whether callers come to all carriers, to two of them, or to one.
+// TestLongAtTheRate has a workspace send 1.2 times its rate for 20 s. No window forbids its rate, so it must get at
+// least 0.97 of it, whether callers send to all carriers, to two of them, or to one.
 func TestLongAtTheRate(t *testing.T) {
 	t.Parallel()
 	const times, least = 1.2, 0.97
--- a/limit/walk_test.go
+++ b/limit/walk_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAnyWindowHoldsOverTheFleet walks a fleet at random: floods at any nodes, cuts, kills, standstills, lost messages,
-// doubts among nodes, carriers that change. No window of any workspace has more than a plain counter allows. All nodes are killed twice in
-// a window at the most.
+// TestAnyWindowHoldsOverTheFleet runs a fleet through random overload on any nodes, network partitions, kills, pauses,
+// lost messages, suspicions and changes of the carriers. No window of any workspace may exceed the bounds by a plain
+// count. All nodes are killed at most twice in a window.
 func TestAnyWindowHoldsOverTheFleet(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestLedgerAgainstACounter has two nodes with a half each that lend each other, and give back what did not run. What
-// ran is counted plainly: no window has more than what may be saved and what is given meanwhile.
+// TestLedgerAgainstACounter has two nodes with half a share each lend each other quota and refund requests that did not
+// run. By a plain count of what ran, no window may exceed the capacity plus what accrues in it.
 func TestLedgerAgainstACounter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(50_000)
@@ -82,7 +82,7 @@
 			case 0:
 				pass(clock.Millis(rapid.IntRange(0, 1500).Draw(t, "ms")))
 			case 1:
-				if len(open) > 0 { // the last one did not run
+				if len(open) > 0 { // the last request did not run
 					by[len(by)-1].Refund("w", open[len(open)-1])
 					open, by = open[:len(open)-1], by[:len(by)-1]
 				}
@@ -112,27 +112,27 @@
 				from++
 			}
 			if n := float64(i - from + 1); n > bounds.Allowed(r)*0.95+1 {
-				t.Fatalf("%v requests in a window, %v are allowed, 0.95 of them without a start", n, bounds.Allowed(r))
+				t.Fatalf("%v requests in a window, %v are allowed, 0.95 of them without a cold start", n, bounds.Allowed(r))
 			}
 		}
 	})
 }
 
-// TestFleetThatStartsInACut ends all processes of a fleet that is cut in halves, and floods it when they start again:
-// neither half has met the others. The one that hears most of the nodes that its settings name has the limits; without
-// that rule both would, and 1,025 requests would run where 654 are allowed.
+// TestFleetThatStartsInACut restarts all processes of a fleet while it is split in halves, and overloads it: neither
+// half has been in contact with the other. Only the half that is in contact with most of the configured seeds may use
+// the limits; without that rule both would, and 1,025 requests would run where 654 are allowed.
 func TestFleetThatStartsInACut(t *testing.T) {
 	f := newFleet(t, 30, 6, true, 1)
 	f.run(10*clock.Second, rates, f.evenLoad(0.1))
 	f.partition(15)
 	f.killAll(500)
 	f.run(12*clock.Second, rates, f.loadOnAll(8))
-	f.check("started in a cut")
+	f.check("started in a network partition")
 }
 
-// TestFleetThatComesBackFromACut has four of five nodes cut into two and two, none of which has a part of limits, and come
-// together again. Each knew of one sharer besides itself, and took a half of the limits at once: 667 requests ran within
-// 5 s where 654 are allowed.
+// TestFleetThatComesBackFromACut splits four of five nodes into two and two, neither of which holds a share, and heals
+// the partition. When each node counted one sharer besides itself, and took half of the limits at once, 667 requests
+// ran within 5 s where 654 are allowed.
 func TestFleetThatComesBackFromACut(t *testing.T) {
 	f := newFleet(t, 5, 4, true, 0)
 	f.run(800, rates, f.loadOnAll(0))
@@ -142,12 +142,13 @@
 	f.run(4600, rates, f.loadOnAll(0))
 	f.partition(4)
 	f.run(5700, rates, f.loadOnAll(12))
-	f.check("back from a cut")
+	f.check("after a network partition")
 }
 
-// TestCutThatMovesAsAFleetStarts has a fleet of 13 start while it is cut into 7 and 6, of which the 7 have the limits, and the
-// cut move before they met, to 3 and 10. The three hear 3 of the 7 nodes that they ever heard and keep their parts, the
-// ten hear all of the ten that they know and deal anew: 667 requests ran within 5 s where 654 are allowed.
+// TestCutThatMovesAsAFleetStarts starts a fleet of 13 that is split into 7 and 6, of which the 7 hold the limits, and
+// changes the split to 3 and 10 before the two sides were in contact. The three are in contact with 3 of the 7 nodes
+// that they ever knew and keep their shares, while the ten are in contact with all ten that they know and divide the
+// limits anew: 667 requests ran within 5 s where 654 are allowed.
 func TestCutThatMovesAsAFleetStarts(t *testing.T) {
 	f := newFleet(t, 13, 7, true, 9)
 	flood := func(first, last int, times float64) func(ident.Workspace, *node) float64 {
@@ -162,11 +163,11 @@
 	f.run(1200, rates, flood(2, 9, 8))
 	f.partition(3)
 	f.run(6*clock.Second, rates, flood(0, 12, 2))
-	f.check("a cut that moves")
+	f.check("a network partition that moves")
 }
 
-// TestCutsThatMoveAsAFleetStarts has cuts of many sizes move to others while the nodes that lose their majority notice it
-// at once, or go on for as long as a suspicion lasts. At no time may two sides hold the limits.
+// TestCutsThatMoveAsAFleetStarts moves network partitions of many sizes, while nodes that lose their majority notice it
+// at once, or only after as long as a suspicion lasts. At no time may two sides hold the limits.
 func TestCutsThatMoveAsAFleetStarts(t *testing.T) {
 	t.Parallel()
 	const nodes, flood = 13, 4
