--- a/once/once.go
+++ b/once/once.go
@@ -1,7 +1,6 @@
-// Package once lets a request run at most once, without a store and without a clock that nodes
-// share. A key names the one process that may ever run it, its home, and a slice of that
-// process's time. The home remembers what became of the key until the slice ends, and takes no
-// key of the slice after that. When the process is gone, nobody runs its keys.
+// Package once runs requests at most once, without a store and without clocks shared by nodes. A key names the only
+// process that may run it, its home, and a time slice of that process. The home remembers the outcome of the key until
+// the slice expires, and accepts no key of the slice after that. When the process is gone, nobody runs its keys.
 package once
 
 import (
@@ -12,16 +11,16 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// separator stands between the parts of a key. Names cannot have it.
+// separator separates the parts of a key. Names can't contain it.
 const separator = "~"
 
-// MaxSuffix is the most bytes of a key that the caller chooses.
+// MaxSuffix is the maximum length in bytes of the part of a key that the caller chooses.
 const MaxSuffix = 64
 
-// ErrKey says that a key is not one that the fleet handed out a prefix for.
+// ErrKey reports a key that doesn't have the form of those that the fleet issues prefixes for.
 var ErrKey = errors.New("key must be a prefix from an ask answer, ~, and 1 to 64 letters, digits, dashes, dots or underscores")
 
-// A Key struct names one run-once request within its workspace.
+// Key identifies a run-once request within its workspace.
 type Key struct {
 	Home   ident.Process
 	Slice  string
@@ -33,12 +32,12 @@
 	return Prefix(k.Home, k.Slice) + separator + k.Suffix
 }
 
-// Prefix returns the part of a key that the fleet hands out.
+// Prefix returns the part of a key that the fleet issues.
 func Prefix(home ident.Process, slice string) string {
 	return strings.Replace(home.String(), "/", separator, 1) + separator + slice
 }
 
-// ParseKey reads a key that a caller sent.
+// ParseKey parses a key sent by a caller.
 func ParseKey(s string) (k Key, err error) {
 	defer func() { err = errors.Wrap(err, "parse key") }()
 	parts := strings.Split(s, separator)
@@ -57,16 +56,16 @@
 	return Key{Home: home, Slice: parts[2], Suffix: parts[3]}, nil
 }
 
-// A Response struct is what a target answered, kept for callers that send the key again.
+// Response is a target's response, kept for callers that send the key again.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Complete is false when the answer was too large to keep.
+	// Complete is false if the response was too large to keep.
 	Complete bool
 }
 
-// size is about how much memory the answer takes.
+// size returns roughly how much memory the response takes.
 func (a *Response) size() int {
 	if a == nil {
 		return 0
@@ -81,26 +80,25 @@
 	return n
 }
 
-// A Decision says what to do with a request. It is one of Run, Replay, NotRun, Unknown,
-// Forward and Mismatch.
+// Decision is what to do with a request: one of Run, Replay, NotRun, Unknown, Forward and Mismatch.
 type Decision interface{ decision() }
 
-// A Run decision lets the request run, now, here, once. The ticket must be ended.
+// Run is the decision to run the request here and now. The caller must end the ticket.
 type Run struct{ Ticket *Ticket }
 
-// A Replay decision says that the request ran before, and what it was answered.
+// Replay is the decision that the request ran before and got this response.
 type Replay struct{ Response *Response }
 
-// A NotRun decision says that the request has not run and never will under this key.
+// NotRun is the decision that the request has not run and never will under this key.
 type NotRun struct{ Reason string }
 
-// An Unknown decision says that the request may have run, or is running.
+// Unknown is the decision that the request may have run, or is still running.
 type Unknown struct{ Reason string }
 
-// A Forward decision names the only process that may run the key.
+// Forward is the decision to leave the request to its home, the only process that may run the key.
 type Forward struct{ Home ident.Process }
 
-// A Mismatch decision says that the key belongs to another request.
+// Mismatch is the decision that the key was used for a different request.
 type Mismatch struct{}
 
 func (Run) decision()      {}
