--- a/once/ledger.go
+++ b/once/ledger.go
@@ -11,15 +11,15 @@
 
 // Limits bounds what a ledger keeps.
 type Limits struct {
-	// SliceDuration is how long one slice's prefix is handed out.
+	// SliceDuration is how long the prefix of a slice is issued.
 	SliceDuration clock.Millis
-	// Retention is how much longer keys of the slice are taken, and their outcomes kept.
+	// Retention is how much longer keys of the slice are accepted and their outcomes kept.
 	Retention clock.Millis
-	// Keys is the most keys kept, of all workspaces.
+	// Keys is the maximum number of keys, over all workspaces.
 	Keys int
-	// Bytes is the most bytes of answers kept, of all workspaces.
+	// Bytes is the maximum size of all responses, over all workspaces.
 	Bytes int
-	// ResponseBytes is the most bytes of one answer that are kept.
+	// ResponseBytes is the maximum size of one response.
 	ResponseBytes int
 }
 
@@ -47,7 +47,7 @@
 	response    *Response
 }
 
-// entryKey is a key within its slice.
+// entryKey identifies a key within its slice.
 type entryKey struct {
 	workspace ident.Workspace
 	suffix    string
@@ -57,13 +57,12 @@
 	id      string
 	opened  clock.Millis
 	entries map[entryKey]*entry
-	// closed workspaces get no further keys of the slice run.
+	// closed workspaces can't run further keys of the slice.
 	closed map[ident.Workspace]bool
 	bytes  int
 }
 
-// A Ledger struct is one process's memory of the keys whose home it is. It is safe for
-// concurrent use.
+// Ledger records the keys whose home is this process. It is safe for concurrent use.
 type Ledger struct {
 	self   ident.Process
 	limits Limits
@@ -78,12 +77,12 @@
 	keysByWorkspace map[ident.Workspace]int
 }
 
-// NewLedger returns an empty ledger. The random numbers keep callers from guessing slices.
+// NewLedger returns an empty ledger. Slice ids contain random numbers so that callers can't guess them.
 func NewLedger(self ident.Process, l Limits, c clock.Clock, r *rand.Rand) *Ledger {
 	return &Ledger{self: self, limits: l, clock: c, rand: r, keysByWorkspace: map[ident.Workspace]int{}}
 }
 
-// Prefix returns the prefix to hand out now.
+// Prefix returns the prefix to issue now.
 func (l *Ledger) Prefix() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +96,7 @@
 	return l.keys
 }
 
-// currentSlice drops slices that have ended, and returns the one whose prefix is handed out.
+// currentSlice drops expired slices and returns the one whose prefix is issued.
 func (l *Ledger) currentSlice() *slice {
 	now := l.clock.Now()
 	l.expire(now)
@@ -143,8 +142,8 @@
 	return nil
 }
 
-// Begin decides what to do with a request of the workspace under the key. The fingerprint tells
-// requests apart that come under one key.
+// Begin decides what to do with a workspace's request under the key. The fingerprint detects different requests under
+// the same key.
 func (l *Ledger) Begin(w ident.Workspace, k Key, fingerprint uint64) Decision {
 	if k.Home != l.self {
 		return Forward{Home: k.Home}
@@ -171,8 +170,8 @@
 	return Run{Ticket: &Ticket{ledger: l, slice: s, entry: e}}
 }
 
-// hasRoom says whether the workspace may have one more key: no more than what is still free. One
-// workspace alone gets half; later ones always find some.
+// hasRoom reports whether the workspace may have one more key. It may use no more keys than are still free, so a single
+// workspace gets at most half, and later ones always find room.
 func (l *Ledger) hasRoom(w ident.Workspace) bool {
 	return l.keysByWorkspace[w] < l.limits.Keys-l.keys
 }
@@ -192,25 +191,24 @@
 	return Unknown{Reason: "the target's answer was lost"}
 }
 
-// A Ticket struct is the right to run one request. The first of its ends holds.
+// Ticket is the right to run one request. Only the first call that ends it counts.
 type Ticket struct {
 	ledger *Ledger
 	slice  *slice
 	entry  *entry
 }
 
-// Complete records what the target answered.
+// Complete records the target's response.
 func (t *Ticket) Complete(a *Response) {
 	t.end(answered, t.ledger.trim(a))
 }
 
-// Void records that the request has not run, and that it never will. Call it before anybody is
-// told so.
+// Void records that the request has not run and never will. It must be called before anyone is told so.
 func (t *Ticket) Void() {
 	t.end(voided, nil)
 }
 
-// Unknown records that nobody knows whether the request ran.
+// Unknown records that it isn't known whether the request ran.
 func (t *Ticket) Unknown() {
 	t.end(unknown, nil)
 }
@@ -233,7 +231,7 @@
 	}
 }
 
-// trim leaves the body out of answers that are too large to keep.
+// trim drops the body of a response that is too large to keep.
 func (l *Ledger) trim(a *Response) *Response {
 	if !a.Complete || a.size() > l.limits.ResponseBytes {
 		return &Response{Status: a.Status}
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -38,7 +38,7 @@
 	is.Equal(l.Begin("w", k, 1), once.Unknown{Reason: "still running"})
 	is.Equal(l.Begin("w", k, 2), once.Mismatch{})
 	run.Ticket.Complete(&once.Response{Status: 200, Body: []byte("ok"), Complete: true})
-	run.Ticket.Void() // a later end changes nothing
+	run.Ticket.Void() // only the first end counts
 	replay, isReplay := l.Begin("w", k, 1).(once.Replay)
 	is.True(isReplay)
 	is.Equal(string(replay.Response.Body), "ok")
@@ -83,21 +83,21 @@
 	})
 }
 
-// outcome is what the oracle knows of one key: the simplest statement of the promise.
+// outcome is the test's model of one key.
 type outcome struct {
 	runs       int
 	toldNotRun bool
 }
 
-// run is one ticket given out.
+// run is one ticket that was issued.
 type run struct {
 	ticket *once.Ticket
 	fate   *outcome
 	ended  bool
 }
 
-// TestAtMostOnce lets callers send keys through any process, at any time, twice and late, while
-// processes run, answer, void, lose answers, restart, and slices end.
+// TestAtMostOnce sends keys through any process, at any time, repeatedly and late, while processes run requests, record
+// responses, void requests, lose responses and restart, and slices expire.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(1000)
@@ -178,14 +178,14 @@
 	l := newLedger(c, 1)
 	old := l.Prefix()
 	c.Advance(small.SliceDuration + 1)
-	l.Begin("w", key(t, l.Prefix(), "later"), 1) // a slice that outlives the old one
+	l.Begin("w", key(t, l.Prefix(), "later"), 1) // a slice that expires after the old one
 	for i := range small.Keys {
 		l.Begin("w", key(t, old, fmt.Sprint(i)), 1)
 	}
 	refused := key(t, l.Prefix(), "refused")
 	_, notRun := l.Begin("w", refused, 1).(once.NotRun)
 	is.True(notRun)
-	c.Advance(small.Retention - 1) // the old slice ends, and there is room again
+	c.Advance(small.Retention - 1) // the old slice expires, and there is room again
 	is.True(l.Keys() > 0)
 	_, notRun = l.Begin("w", refused, 1).(once.NotRun)
 	is.True(notRun)
