--- a/access/access.go
+++ b/access/access.go
@@ -1,5 +1,5 @@
-// Package access decides who may ask: which workspace a caller's key belongs to, and for how long a node may
-// go by what it knows of keys. It holds digests of keys and no key, and does no I/O.
+// Package access authenticates requests: it maps API keys to workspaces, and decides how long a node may rely on the
+// keys that it knows. It stores digests of keys, never the keys themselves, and does no I/O.
 package access
 
 import (
@@ -13,14 +13,14 @@
 )
 
 const (
-	// MaxKey is the most bytes in a key.
+	// MaxKey is the maximum length of a key in bytes.
 	MaxKey = 256
-	// DigestBytes is the size of a digest: no other key can be found for it.
+	// DigestBytes is the size of a digest, large enough that no second key can be found for it.
 	DigestBytes = 16
 )
 
-// A Digest stands for a key that only its holders can tell. All nodes have the same one for a key, so that the
-// copies of a desired state are alike; keys are random, so that it needs no secret of its own.
+// Digest identifies a key without revealing it. It is the same on all nodes, so that copies of a desired state are
+// equal; as keys are random, it needs no salt.
 type Digest [DigestBytes]byte
 
 // DigestOf returns the key's digest.
@@ -31,31 +31,31 @@
 	return d
 }
 
-// A Workspace struct is one customer: in whose name requests run, how urgent they are, and how many there may be.
+// Workspace is a customer: the tenant of requests, with their priority and rate limit.
 type Workspace struct {
 	Name ident.Workspace
-	// Priority says who waits when there is too much work; 0 goes first.
+	// Priority decides who waits under overload; 0 goes first.
 	Priority uint32
 	Rate     limit.Rate
-	// Regions are the only ones that may serve its requests; empty stands for all.
+	// Regions are the only ones that may serve its requests; empty means all.
 	Regions []ident.Region
-	// Fault says why the workspace cannot be used.
+	// Fault is why the workspace can't be used; empty if it can.
 	Fault string
 }
 
-// A Directory struct finds workspaces by their keys. It is never changed once it is in use.
+// Directory finds workspaces by their keys. It must not be changed once it is in use.
 type Directory struct {
 	byKey  map[Digest]*Workspace
 	byName map[ident.Workspace]*Workspace
 }
 
-// NewDirectory returns a directory without workspaces: no key opens anything.
+// NewDirectory returns a directory without workspaces, which accepts no key.
 func NewDirectory() *Directory {
 	return &Directory{byKey: map[Digest]*Workspace{}, byName: map[ident.Workspace]*Workspace{}}
 }
 
-// Add adds a workspace. A second one of a name is left out, and a key that two workspaces have opens neither: the
-// error says so, and what else there is stays as it is.
+// Add adds a workspace. A second workspace with the same name is skipped, and a key that belongs to two workspaces is
+// accepted for neither. The error reports this; the other entries are not affected.
 func (d *Directory) Add(w Workspace, keys []Digest) (err error) {
 	defer func() { err = errors.Wrapf(err, "workspace %q", w.Name) }()
 	if err := ident.CheckName(string(w.Name)); err != nil {
@@ -88,20 +88,20 @@
 	return d.byName
 }
 
-// A Verdict says whether a request may be served.
+// Verdict is the result of checking a request's key.
 type Verdict int
 
 // Verdicts.
 const (
 	// Allowed requests may be served.
 	Allowed Verdict = iota
-	// NoKey requests show no key, or none that can be read.
+	// NoKey requests have no key, or none that can be parsed.
 	NoKey
-	// UnknownKey requests show a key that belongs to no workspace.
+	// UnknownKey requests have a key that belongs to no workspace.
 	UnknownKey
-	// Unverified requests come while the node cannot tell whether their key still holds.
+	// Unverified requests arrive while the node can't tell whether their key is still valid.
 	Unverified
-	// Unusable requests belong to a workspace that cannot be used as it was written.
+	// Unusable requests belong to a workspace whose definition is invalid.
 	Unusable
 )
 
@@ -122,30 +122,30 @@
 	return "no such verdict"
 }
 
-// A Freshness struct is how far a node may go by the keys that it knows.
+// Freshness is how far a node may rely on the keys that it knows.
 type Freshness struct {
-	// Known says that Age is known: how long ago the store is proved to have held no newer keys.
+	// Known reports whether Age is known: how long ago, at most, the store held no newer keys.
 	Known bool
 	Age   clock.Millis
-	// MaxAge is the age at which keys are no longer taken; 0 if they always are.
+	// MaxAge is the age at which keys are no longer accepted; 0 means that they always are.
 	MaxAge clock.Millis
-	// NegativeMaxAge is the age up to which a key that is not known here is taken to be known nowhere; 0 if it always is.
+	// NegativeMaxAge is the age up to which a key unknown to this node counts as unknown everywhere; 0 means always.
 	NegativeMaxAge clock.Millis
-	// Stale says that there are newer keys than those known here.
+	// Stale reports that there are newer keys than those that the node knows.
 	Stale bool
 }
 
-// valid says whether keys may be taken.
+// valid reports whether known keys may be accepted.
 func (t Freshness) valid() bool {
 	return t.MaxAge == 0 || t.Known && t.Age < t.MaxAge
 }
 
-// negativeValid says whether a key that is not known here is known nowhere else.
+// negativeValid reports whether a key unknown to this node is unknown everywhere.
 func (t Freshness) negativeValid() bool {
 	return !t.Stale && (t.NegativeMaxAge == 0 || t.Known && t.Age < t.NegativeMaxAge)
 }
 
-// Decide says whether a request that shows these values of Authorization may be served, and for which workspace.
+// Decide returns the verdict for a request with these Authorization values, and its workspace if it is allowed.
 func (d *Directory) Decide(authorization []string, t Freshness) (*Workspace, Verdict) {
 	key, found := Bearer(authorization)
 	if !found {
@@ -163,10 +163,10 @@
 	return w, Allowed
 }
 
-// scheme is how keys are shown (RFC 6750); its case does not matter (RFC 9110, 11.1).
+// scheme is the authentication scheme (RFC 6750). It is case-insensitive (RFC 9110, 11.1).
 const scheme = "Bearer"
 
-// Bearer returns the key that a request shows: in one value, of one scheme, without blanks inside.
+// Bearer returns the key of a request: the token of a single value with the Bearer scheme, without blanks inside.
 func Bearer(authorization []string) (key string, found bool) {
 	if len(authorization) != 1 {
 		return "", false
@@ -182,7 +182,8 @@
 	return key, true
 }
 
-// invalidInKey says whether a sign cannot be in a key: blanks, commas between several, and what is not plain text.
+// invalidInKey reports whether a key can't contain the character: blanks, commas (which separate several values), and
+// anything that isn't printable ASCII.
 func invalidInKey(r rune) bool {
 	return r <= ' ' || r == ',' || r > '~'
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -46,17 +46,17 @@
 		{"two in one value", []string{"Bearer key-of-shops, Bearer key-of-shops"}, fresh, access.NoKey, ""},
 		{"blank inside", []string{"Bearer key-of shops"}, fresh, access.NoKey, ""},
 		{"tab", []string{"Bearer\tkey-of-shops"}, fresh, access.NoKey, ""},
-		{"not plain text", []string{"Bearer key-of-shöps"}, fresh, access.NoKey, ""},
+		{"not ASCII", []string{"Bearer key-of-shöps"}, fresh, access.NoKey, ""},
 		{"too long", []string{"Bearer " + long}, fresh, access.NoKey, ""},
 		{"case of the key", []string{"Bearer Key-of-shops"}, fresh, access.UnknownKey, ""},
 		{"unknown", []string{"Bearer x"}, fresh, access.UnknownKey, ""},
-		{"trust has lapsed", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4900, MaxAge: 4900}, access.Unverified, ""},
-		{"just before", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4899, MaxAge: 4900}, access.Allowed, "shops"},
-		{"nothing proved", []string{"Bearer key-of-shops"}, access.Freshness{MaxAge: 4900}, access.Unverified, ""},
-		{"taken as known", []string{"Bearer key-of-shops"}, access.Freshness{}, access.Allowed, "shops"},
-		{"unknown by old word", []string{"Bearer x"}, access.Freshness{Known: true, Age: 2600, MaxAge: 4900, NegativeMaxAge: 2500}, access.Unverified, ""},
-		{"unknown to a node that is behind", []string{"Bearer x"}, access.Freshness{Stale: true}, access.Unverified, ""},
-		{"known to a node that is behind", []string{"Bearer key-of-shops"}, access.Freshness{Stale: true}, access.Allowed, "shops"},
+		{"too old", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4900, MaxAge: 4900}, access.Unverified, ""},
+		{"just young enough", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4899, MaxAge: 4900}, access.Allowed, "shops"},
+		{"age unknown", []string{"Bearer key-of-shops"}, access.Freshness{MaxAge: 4900}, access.Unverified, ""},
+		{"no age limit", []string{"Bearer key-of-shops"}, access.Freshness{}, access.Allowed, "shops"},
+		{"unknown by old keys", []string{"Bearer x"}, access.Freshness{Known: true, Age: 2600, MaxAge: 4900, NegativeMaxAge: 2500}, access.Unverified, ""},
+		{"unknown to a stale node", []string{"Bearer x"}, access.Freshness{Stale: true}, access.Unverified, ""},
+		{"known to a stale node", []string{"Bearer key-of-shops"}, access.Freshness{Stale: true}, access.Allowed, "shops"},
 	}
 	d := directory(t)
 	for _, c := range cases {
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestFaultsOpenNothing adds workspaces that make no sense beside sound ones.
+// TestFaultsOpenNothing adds invalid workspaces next to valid ones.
 func TestFaultsOpenNothing(t *testing.T) {
 	is := is.New(t)
 	d := directory(t)
@@ -98,38 +98,39 @@
 	is.Equal(v, access.UnknownKey)
 }
 
-// TestProofGrowsOld has one node ask the store and hand its proof on, while messages wait and processes stand still.
+// TestProofGrowsOld has one node query the store and pass its proof on, while messages are delayed and processes
+// paused.
 func TestProofGrowsOld(t *testing.T) {
 	is := is.New(t)
 	var asker, told access.Proof
 	_, proved := told.Age(0)
 	is.True(!proved)
-	// The store's clock is 7,000 behind. The asker's question goes out at 10,000 and is answered at 10,004.
+	// The store's clock is 7,000 behind. The asker's request is sent at 10,000 and answered at 10,004.
 	asker.ObserveStore(10_000, 10_004, 3_002, true)
 	age, proved := asker.Age(10_004)
 	is.True(proved && age == 4)
 	is.Equal(asker.Proved(), clock.Millis(3_002))
 	told.Merge(asker.Proved(), 10_010)
 	_, proved = told.Age(10_010)
-	is.True(!proved) // it cannot tell how old that is
-	// It asks the other node, whose answer shows how late the store's clock may be.
+	is.True(!proved) // its age can't be determined
+	// It asks the other node, whose answer gives an upper bound on the store's clock.
 	told.ObserveLatest(10_020, asker.Latest(10_022))
 	told.Merge(asker.Proved(), 10_030)
 	age, proved = told.Age(10_030)
 	is.True(proved && age >= 28 && age <= 32)
-	// The word lies in a buffer for six seconds while the node stands still: it is as old as it is.
+	// The proof is held in a buffer for six seconds while the node is paused: that counts towards its age.
 	told.Merge(asker.Proved(), 16_030)
 	age, proved = told.Age(16_030)
 	is.True(proved && age >= 6_028)
-	// An answer that shows a newer state that cannot be read proves nothing.
+	// An answer that shows a newer state, which can't be read, proves nothing.
 	asker.ObserveStore(16_000, 16_004, 9_002, false)
 	age, _ = asker.Age(16_004)
 	is.True(age >= 6_000)
-	// A word from a time to come is none.
+	// A proof from the future is ignored.
 	told.Merge(20_000, 16_030)
 	age, _ = told.Age(16_030)
 	is.True(age >= 6_028)
-	// The store's clock goes back: what was proved before says nothing.
+	// The store's clock is set back: earlier proofs are void.
 	asker.ObserveStore(17_000, 17_004, 100, false)
 	_, proved = asker.Age(17_004)
 	is.True(!proved)
@@ -146,7 +147,7 @@
 	})
 }
 
-// BenchmarkDecide checks a key of 1,000 workspaces with 4 each: 0.2 us, and nothing is allocated.
+// BenchmarkDecide checks a key among 1,000 workspaces with 4 each: 0.2 us, without allocations.
 func BenchmarkDecide(b *testing.B) {
 	d := access.NewDirectory()
 	for i := range 1000 {
