--- a/access/proof.go
+++ b/access/proof.go
@@ -6,17 +6,18 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A Proof struct knows how long ago the store is proved to have held nothing newer than a node's keys. What is
-// proved is a time of the store's own clock, so that nodes can hand it on and no copy of it grows younger: an age
-// that is told does, while the message lies in a buffer or either process stands still. It is safe for concurrent use.
+// Proof is a lower bound on how recent a node's keys are: the latest time at which the store is known to have held
+// nothing newer. The time is of the store's clock, so that nodes can pass it on without making it look more recent. An
+// age would look more recent, if the message is held in a buffer or either process is paused. Proof is safe for
+// concurrent use.
 type Proof struct {
 	mu     sync.Mutex
 	store  clock.Remote
 	proved clock.Millis
 }
 
-// ObserveStore takes in the store's own answer to a question that was sent and answered at local times: its clock
-// showed the reading. Holds says that the answer proves that nothing newer was there.
+// ObserveStore takes a response of the store: its clock read reading between the local times sent and received. Current
+// reports that the response proves that there was nothing newer.
 func (p *Proof) ObserveStore(sent, received, reading clock.Millis, current bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,7 +29,7 @@
 	}
 }
 
-// ObserveLatest takes in the latest that the store's clock may have shown when a question to another node was sent.
+// ObserveLatest takes the upper bound that another node gave for the store's clock, in answer to a request sent then.
 func (p *Proof) ObserveLatest(sent, latest clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +38,7 @@
 	}
 }
 
-// Merge takes in another node's proof for the same keys. One that cannot be dated, or is of a time to come, is none.
+// Merge takes another node's proof for the same keys. It ignores one that can't be dated or lies in the future.
 func (p *Proof) Merge(proved, now clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,12 +46,12 @@
 		return
 	}
 	if _, ok := p.store.Earliest(p.proved, now); !ok {
-		p.proved = 0 // of a clock that was set since
+		p.proved = 0 // the store's clock was reset since
 	}
 	p.proved = max(p.proved, proved)
 }
 
-// Age returns how long ago nothing newer was there, at most; false if that is not known.
+// Age returns an upper bound on how long ago there was nothing newer; false if none is known.
 func (p *Proof) Age(now clock.Millis) (age clock.Millis, proved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,14 +59,14 @@
 	return now - local, ok && p.proved > 0
 }
 
-// Proved returns the time that is proved, by the store's clock, to be handed on; 0 if there is none.
+// Proved returns the proved time, by the store's clock, to pass on to other nodes; 0 if there is none.
 func (p *Proof) Proved() clock.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.proved
 }
 
-// Latest returns the latest that the store's clock may show now; 0 if nothing is known of it.
+// Latest returns an upper bound on what the store's clock reads now; 0 if nothing is known of it.
 func (p *Proof) Latest(now clock.Millis) clock.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
