--- a/assign/assign.go
+++ b/assign/assign.go
@@ -1,5 +1,5 @@
-// Package assign ranks nodes for a service or a duty by rendezvous hashing over the live nodes. Every
-// node works it out alone; small differences in view move little work.
+// Package assign ranks nodes for a service or a duty by rendezvous hashing over the live nodes. Each node computes the
+// ranking alone; small differences between their views move little work.
 package assign
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// FullWeight is the weight of a node that takes an ordinary share.
+// FullWeight is the weight of a node that takes a normal share of work.
 const FullWeight = 100
 
-// A Candidate struct is a node that may be given work.
+// Candidate is a node that may be assigned work.
 type Candidate struct {
 	Node ident.Node
 	Hall ident.Hall
-	// Weight is its share of work, in hundredths; 0 takes none.
+	// Weight is its share of work, in percent of a normal one; 0 means none.
 	Weight uint32
 }
 
@@ -28,8 +28,8 @@
 	score float64
 }
 
-// Rank returns the candidates for the key, best first, without those of weight 0. The order of
-// two candidates does not depend on the others.
+// Rank returns the candidates for the key, best first, without those of weight 0. The relative order of two candidates
+// doesn't depend on the others.
 func Rank(key string, candidates []Candidate) []Candidate {
 	list := make([]scored, 0, len(candidates))
 	for _, c := range candidates {
@@ -47,7 +47,7 @@
 	return ranked
 }
 
-// score is the weighted rendezvous score -w/ln(u), u uniform in (0,1).
+// score returns the weighted rendezvous score -w/ln(u), with u uniform in (0,1).
 func score(key string, c Candidate) float64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -58,8 +58,9 @@
 	return -float64(c.Weight) / math.Log(u)
 }
 
-// Strongest returns the candidates that carry the most for the key, as many as together weigh need, and a few at least. Those
-// that weigh the same are ranked; of a large fleet that is the few strong ones, so most are never scored.
+// Strongest returns the candidates with the highest weights, until these sum up to minWeight and there are at least
+// minCount. Equal weights are ordered by rank. In a large fleet a few strong nodes suffice, so most candidates are
+// never scored.
 func Strongest(key string, candidates []Candidate, minWeight, minCount int) (list []Candidate) {
 	weights := make([]uint32, 0, len(candidates))
 	for _, c := range candidates {
@@ -79,7 +80,7 @@
 	return list
 }
 
-// withWeight returns the candidates of that weight, each with the same chance.
+// withWeight returns the candidates of that weight, with their weights set to FullWeight.
 func withWeight(candidates []Candidate, w uint32) (list []Candidate) {
 	for _, c := range candidates {
 		if c.Weight == w {
@@ -90,7 +91,7 @@
 	return list
 }
 
-// Busiest returns the processes that ask the most, at most so many of them, the busiest first.
+// Busiest returns up to most processes, those with the most requests, in descending order.
 func Busiest(requests map[ident.Process]int, most int) []ident.Process {
 	list := slices.SortedFunc(maps.Keys(requests), func(a, b ident.Process) int {
 		return cmp.Or(cmp.Compare(requests[b], requests[a]), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
@@ -98,9 +99,8 @@
 	return list[:min(most, len(list))]
 }
 
-// Position returns the place of a node in the ranking for a duty, from 0, or -1 if it has none.
-//
-// It ranks nobody else, which costs less than the whole ranking and allocates nothing.
+// Position returns the position of a node in the ranking for a duty, starting at 0, or -1 if it isn't in it. It doesn't
+// rank the other nodes, and allocates nothing.
 func Position(duty string, candidates []Candidate, n ident.Node) (position int) {
 	own := slices.IndexFunc(candidates, func(c Candidate) bool { return c.Node == n })
 	if own < 0 || candidates[own].Weight == 0 {
@@ -118,7 +118,7 @@
 	return position
 }
 
-// First returns the node that is best for the duty; "" if there is none.
+// First returns the best node for the duty; "" if there is none.
 func First(duty string, candidates []Candidate) (best ident.Node) {
 	most := 0.0
 	for _, c := range candidates {
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -44,7 +44,7 @@
 				lost = 1
 			}
 		}
-		is.Equal(kept, 3-lost) // only the lost node's place is filled anew
+		is.Equal(kept, 3-lost) // only the lost node is replaced
 	}
 }
 
@@ -70,8 +70,8 @@
 	is.Equal(assign.Position("poll", fleet(2, 1), "absent"), -1)
 }
 
-// TestStrongestAreThoseOfTheWholeRanking compares the strongest with the whole ranking, sorted by weight: for any need, the
-// same candidates in the same order.
+// TestStrongestAreThoseOfTheWholeRanking compares Strongest with the full ranking, stably sorted by weight: it must
+// return the same candidates in the same order for any need.
 func TestStrongestAreThoseOfTheWholeRanking(t *testing.T) {
 	is := is.New(t)
 	for i := range 200 {
@@ -100,8 +100,8 @@
 	}
 }
 
-// BenchmarkStrongest ranks the carriers of one hall of a large fleet: 197 nodes, of which 7 are strong. 5.6 us; the whole
-// ranking, sorted by weight besides, took 65 us and more.
+// BenchmarkStrongest selects from one hall of a large fleet: 197 nodes, of which 8 are strong. It takes 5.6 us; sorting
+// the full ranking by weight took 65 us and more.
 func BenchmarkStrongest(b *testing.B) {
 	all := fleet(197, 1)
 	for i := range all {
@@ -115,7 +115,7 @@
 	}
 }
 
-// BenchmarkRank ranks all nodes of that hall.
+// BenchmarkRank ranks all nodes of the same hall.
 func BenchmarkRank(b *testing.B) {
 	all := fleet(197, 1)
 	for b.Loop() {
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestBusiestAreFew has a request come to each of 986 nodes now and then, and many to forty: a failure is told to a few of
-// those, not to all.
+// TestBusiestAreFew has each of 986 nodes send a request now and then, and forty of them many: a failure is reported to
+// a few of those, not to all.
 func TestBusiestAreFew(t *testing.T) {
 	is := is.New(t)
 	asked := map[ident.Process]int{}
