--- a/assign/sharers.go
+++ b/assign/sharers.go
@@ -7,44 +7,45 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// SettleTime is how long a node goes on counting one that it no longer sees among those that share something, and how
-// long it must have been one of them itself to have a part. A suspicion lasts no longer: whoever is held suspect goes on
-// with its part, and nodes differ in whom they suspect.
+// SettleTime is how long a node that is no longer seen among the sharers still counts as one, and how long a node must
+// have been a sharer to hold a share. A suspicion lasts no longer: a suspected node keeps using its share, and nodes
+// differ in whom they suspect.
 const SettleTime = 3 * clock.Second
 
-// minPresence is for how long another node must have been seen sharing to count: one that did so for a moment had no part
-// yet. What is left of SettleFor is for news that comes late.
+// minPresence is how long a node must have been seen as a sharer to count: one that was seen for a moment holds no
+// share yet. The rest of SettleTime allows for delayed updates.
 const minPresence = SettleTime / 2
 
-// A Sharers struct remembers who shared something with this node of late, so that parts of it add up to one at most
-// while nodes disagree. It is not safe for concurrent use.
+// Sharers remembers which nodes recently shared something with this one, so that shares add up to at most one even
+// while nodes have different views. It is not safe for concurrent use.
 type Sharers struct {
 	seen map[ident.Node]presence
-	// joinedAt is when this node became one of them, and observedAt when it last looked.
+	// joinedAt is when this node became a sharer, and observedAt the time of the last observation.
 	joinedAt, observedAt clock.Millis
 	shares               bool
 }
 
-// A presence is when a node was first and last seen sharing, with gaps that are shorter than SettleFor.
+// presence is when a node was first and last seen as a sharer, apart from gaps shorter than SettleTime.
 type presence struct {
 	first, last clock.Millis
 }
 
-// NewSharers returns the memory of a node that has seen nobody yet.
+// NewSharers returns an empty set of sharers.
 func NewSharers() *Sharers {
 	return &Sharers{seen: map[ident.Node]presence{}}
 }
 
-// Observe takes in whom this node sees sharing now, and whether itself is one of them. It returns how many to count, and
-// whether the node has a part: once the others must have seen that it shares. Nodes that all started at once, which fresh
-// says, have nobody to wait for, and whom they took for sharing while they knew few others had no part.
+// Observe takes the nodes that are sharers in the current view, and whether this node is one. It returns how many
+// sharers to count, and whether this node holds a share, which it does once the others must have seen it as a sharer.
+// If fresh, all nodes have just started: there is nobody to wait for, and nodes taken for sharers while few were known
+// held no share.
 func (s *Sharers) Observe(sharing []ident.Node, shares, fresh bool, now clock.Millis) (count int, settled bool) {
 	since := now
 	if fresh {
 		since -= SettleTime
 		clear(s.seen)
 	}
-	paused := now-s.observedAt > SettleTime // this process stood still, and others may have stopped counting it
+	paused := now-s.observedAt > SettleTime // the process was paused, and others may no longer count it
 	if shares && (!s.shares || paused) {
 		s.joinedAt = since
 	}
@@ -53,7 +54,7 @@
 	return s.count(), shares && now-s.joinedAt >= SettleTime
 }
 
-// record takes in who is seen sharing, those that were not seen of late since the time given.
+// record adds an observation; nodes not seen recently count as present since the given time.
 func (s *Sharers) record(sharing []ident.Node, since, now clock.Millis) {
 	maps.DeleteFunc(s.seen, func(_ ident.Node, at presence) bool { return now-at.last > SettleTime })
 	for _, n := range sharing {
@@ -66,7 +67,7 @@
 	}
 }
 
-// count returns how many have been seen for long enough to have a part.
+// count returns how many nodes were present long enough to hold a share.
 func (s *Sharers) count() (n int) {
 	for _, at := range s.seen {
 		if at.last-at.first >= minPresence {
--- a/assign/sharers_test.go
+++ b/assign/sharers_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// TestSharers follows a node through what others see of it and it of others.
+// TestSharers follows a node through changes of its own and the others' views.
 func TestSharers(t *testing.T) {
 	alone, both, three := []ident.Node{"a"}, []ident.Node{"a", "b"}, []ident.Node{"a", "b", "c"}
 	cases := []struct {
@@ -26,12 +26,12 @@
 		{"counted by all", 13_000, both, true, 2, true},
 		{"another comes for a moment", 13_500, three, true, 2, true},
 		{"and another moment", 14_000, three, true, 2, true},
-		{"another held suspect counts on", 16_000, alone, true, 2, true},
-		{"one that stays away does not", 17_100, alone, true, 1, true},
+		{"a suspected node still counts", 16_000, alone, true, 2, true},
+		{"one that stays absent does not", 17_100, alone, true, 1, true},
 		{"no longer one of them", 17_200, both, false, 1, false},
 		{"one of them again", 17_300, both, true, 1, false},
 		{"counted again", 20_300, both, true, 2, true},
-		{"stood still for long", 23_400, both, true, 0, false},
+		{"paused for long", 23_400, both, true, 0, false},
 		{"counted after that", 26_400, both, true, 2, true},
 	}
 	s := assign.NewSharers()
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestSharersThatStartAtOnce has a node take others for sharing with it while it knows few: the ranks of all are known
-// only after half a second. Counted for three seconds, they left six nodes with a sixteenth of the limits each in place
-// of a sixth.
+// TestSharersThatStartAtOnce guards against counting nodes that were taken for sharers during a cold start, while few
+// nodes were known; the ranking is complete only after half a second. When they counted for three seconds, six nodes
+// got a sixteenth of the limits each instead of a sixth.
 func TestSharersThatStartAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := assign.NewSharers()
