--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,5 @@
-// Package store says what the fleet needs of the platform's store: rows that are written under
-// conditions, objects, and records that can be followed.
+// Package store defines what the fleet needs of the platform's store: rows with conditional writes, objects, and
+// records whose changes can be followed.
 package store
 
 import (
@@ -13,40 +13,40 @@
 
 // Errors of calls.
 var (
-	// ErrUnavailable says that the store did not answer, or refused. A commit that fails so may have taken
-	// effect, or may yet.
+	// ErrUnavailable reports that the store did not answer, or refused. A commit that fails with it may have taken
+	// effect, or may still do so.
 	ErrUnavailable = errors.New("store does not answer")
-	// ErrInvalid says that the store answered and will not take this call, now or later: nothing was written.
+	// ErrInvalid reports that the store rejects the call, now and later. Nothing was written.
 	ErrInvalid = errors.New("store does not take the call")
-	// ErrContended says that other writers were faster each time: nothing was written, and the store answers.
+	// ErrContended reports that concurrent writers won each attempt. Nothing was written, and the store is available.
 	ErrContended = errors.New("other writers were faster")
-	// ErrGap says that the store no longer knows all changes since the mark: read the whole again.
+	// ErrGap reports that the store no longer has all changes since the cursor; the whole set must be read again.
 	ErrGap = errors.New("changes were forgotten")
-	// ErrSuperseded says that changes since the mark come so slowly that the newest is had sooner by reading the whole.
+	// ErrSuperseded reports that the changes since the cursor arrive so slowly that reading the whole set is faster.
 	ErrSuperseded = errors.New("newer changes follow")
 )
 
-// A Row struct is one row of the table. Version 0 means that there is no such row.
+// Row is a row of the table. Version 0 means that it doesn't exist.
 type Row struct {
 	Key     string
 	Value   []byte
 	Version uint64
 }
 
-// A Write struct sets a row if its version is the expected one; 0 expects no row. The store takes no row without a value:
-// a write without one removes the row.
+// Write sets a row if its version is the expected one; 0 expects no row. The store has no rows without a value: a write
+// without one deletes the row.
 type Write struct {
 	Key      string
 	Value    []byte
 	Expected uint64
 }
 
-// A Conflict error says that a commit was refused, and how the rows in the way stand.
+// Conflict is the error of a refused commit, with the current rows that conflict with it.
 type Conflict struct {
 	Rows []Row
 }
 
-// Error names the first row in the way.
+// Error names the first conflicting row.
 func (c *Conflict) Error() string {
 	if len(c.Rows) == 0 {
 		return "table conflict"
@@ -54,31 +54,31 @@
 	return "table conflict at " + strconv.Quote(c.Rows[0].Key)
 }
 
-// A Table holds rows of the fleet's own.
+// Table holds the fleet's own rows.
 type Table interface {
-	// Read returns a row for each key, in order, with version 0 for those absent.
+	// Read returns a row for each key, in order, with version 0 for those that don't exist.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns up to limit rows with the prefix, in key order, after the key named.
+	// Scan returns up to limit rows with the prefix, in key order, starting after the given key.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit makes all writes or none. It fails with *Conflict, with ErrAway when nobody knows, or with ErrInvalid when the
-	// store does not take them.
+	// Commit applies all writes or none. It fails with *Conflict, with ErrUnavailable if the outcome is unknown, or
+	// with ErrInvalid if the store rejects the writes.
 	Commit(ctx context.Context, writes ...Write) error
 }
 
-// An Object struct is a named value.
+// Object is a named value.
 type Object struct {
 	Name  string
 	Value []byte
 }
 
-// Objects keeps values that are written once.
+// Objects stores values that are written once.
 type Objects interface {
 	Put(ctx context.Context, o Object) error
-	// List returns the objects whose names have the prefix and come after the one named.
+	// List returns up to limit objects whose names have the prefix, starting after the given name.
 	List(ctx context.Context, prefix, after string, limit int) ([]Object, error)
 }
 
-// A Kind names a set of records that nodes follow.
+// Kind names a set of records that nodes follow.
 type Kind string
 
 // Kinds of records.
@@ -87,45 +87,46 @@
 	State Kind = "state"
 	// Targets are the targets that registered themselves.
 	Targets Kind = "targets"
-	// Evacuations are the halls whose targets are to get nothing, by their names. The platform's operators write them
-	// beside the State, and they come with it.
+	// Evacuations are the names of halls whose targets must not receive requests. The platform's operators write them
+	// next to the State, and they are delivered with it.
 	Evacuations Kind = "evacuations"
-	// Documents are what operators write through the fleet's own interface.
+	// Documents are what operators write through the fleet's own API.
 	Documents Kind = "documents"
-	// Suspects are requests under which targets crashed, as nodes write them.
+	// Suspects are requests during which targets crashed, as recorded by nodes.
 	Suspects Kind = "suspects"
 )
 
-// A Refusal struct is a record, or a part of one, that cannot be used.
+// Refusal reports a record, or a part of one, that can't be used.
 type Refusal struct {
 	Kind Kind
 	Key  string
-	// Part names what of the record cannot be used; "" says that all of it cannot.
+	// Part is the part of the record that can't be used; "" means all of it.
 	Part string
 	// Version is the record's.
 	Version uint64
 	Err     error
 }
 
-// A Cursor is a place in a kind's changes, to go on from.
+// Cursor is a position in the changes of a kind, from which to continue.
 type Cursor uint64
 
-// A Reply struct is what the store says of a kind's records.
+// Reply is a set of records, or of changes, that the store returned.
 type Reply struct {
 	Records []replica.Record
-	// With are records of kinds that come with this one. If all were read, each kind there is has an entry.
+	// With holds records of kinds that are delivered with this one. After a full read it has an entry for each such
+	// kind.
 	With map[Kind][]replica.Record
-	// Cursor is where to go on from: up to there the records are all there are.
+	// Cursor is the position up to which the records are complete, from which to continue.
 	Cursor Cursor
-	// Clock is what the store's own steady clock showed then; 0 if it tells none.
+	// Clock is the reading of the store's monotonic clock at that time; 0 if it has none.
 	Clock clock.Millis
 }
 
-// A Source is where records are kept.
+// Source provides the records of each kind.
 type Source interface {
 	// Read returns all records of the kind.
 	Read(ctx context.Context, k Kind) (Reply, error)
-	// Follow returns the changes since the mark as soon as there are any, or none after the wait. It
-	// fails with ErrGap when it no longer knows them, and with ErrSuperseded when the newest is better read alone.
+	// Follow returns the changes since the cursor as soon as there are any, or none after the wait. It fails with
+	// ErrGap if the store no longer has them, and with ErrSuperseded if a full read is faster.
 	Follow(ctx context.Context, k Kind, m Cursor, wait clock.Millis) (Reply, error)
 }
