--- a/access/access_test.go
+++ b/access/access_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestFaultsOpenNothing adds invalid workspaces next to valid ones.
-func TestFaultsOpenNothing(t *testing.T) {
+// TestInvalidWorkspacesGrantNothing adds invalid workspaces next to valid ones.
+func TestInvalidWorkspacesGrantNothing(t *testing.T) {
 	is := is.New(t)
 	d := directory(t)
 	shared := access.DigestOf("shared")
@@ -98,9 +98,9 @@
 	is.Equal(v, access.UnknownKey)
 }
 
-// TestProofGrowsOld has one node query the store and pass its proof on, while messages are delayed and processes
+// TestProofAges has one node query the store and pass its proof on, while messages are delayed and processes
 // paused.
-func TestProofGrowsOld(t *testing.T) {
+func TestProofAges(t *testing.T) {
 	is := is.New(t)
 	var asker, told access.Proof
 	_, proved := told.Age(0)
--- a/assign/sharers.go
+++ b/assign/sharers.go
@@ -37,11 +37,10 @@
 
 // Observe takes the nodes that are sharers in the current view, and whether this node is one. It returns how many
 // sharers to count, and whether this node holds a share, which it does once the others must have seen it as a sharer.
-// If fresh, all nodes have just started: there is nobody to wait for, and nodes taken for sharers while few were known
-// held no share.
-func (s *Sharers) Observe(sharing []ident.Node, shares, fresh bool, now clock.Millis) (count int, settled bool) {
+// On a cold start there is nobody to wait for, and nodes taken for sharers while few were known held no share.
+func (s *Sharers) Observe(sharing []ident.Node, shares, coldStart bool, now clock.Millis) (count int, settled bool) {
 	since := now
-	if fresh {
+	if coldStart {
 		since -= SettleTime
 		clear(s.seen)
 	}
--- a/assign/sharers_test.go
+++ b/assign/sharers_test.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestSharersThatStartAtOnce guards against counting nodes that were taken for sharers during a cold start, while few
+// TestSharersDuringColdStart guards against counting nodes that were taken for sharers during a cold start, while few
 // nodes were known; the ranking is complete only after half a second. When they counted for three seconds, six nodes
 // got a sixteenth of the limits each instead of a sixth.
-func TestSharersThatStartAtOnce(t *testing.T) {
+func TestSharersDuringColdStart(t *testing.T) {
 	is := is.New(t)
 	s := assign.NewSharers()
 	_, settled := s.Observe([]ident.Node{"a", "x", "y"}, true, true, 10_000)
--- a/config/writer.go
+++ b/config/writer.go
@@ -62,7 +62,7 @@
 // A Writer makes changes.
 type Writer interface {
 	// Apply makes the change, or says why not: ErrInvalid, *StaleError, ErrVoided, ErrUndecided
-	// or store.ErrAway, the last only if nothing was written.
+	// or store.ErrUnavailable, the last only if nothing was written.
 	Apply(ctx context.Context, r Request) (*tlv1.Change, error)
 	// Resolve says what became of a change, and voids it if it was not made.
 	Resolve(ctx context.Context, id string) (*tlv1.Change, error)
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -382,12 +382,12 @@
 	}
 }
 
-// TestLimitHoldsUnderDoubts has nodes suspect each other for a while, each a different few, as happens with message
+// TestLimitHoldsUnderSuspicions has nodes suspect each other for a while, each a different few, as happens with message
 // loss and a paused process. When each node computed its share from the nodes that it would send callers to at the
 // moment, it left out suspected nodes although they kept using their shares: four real nodes admitted 73 to 81 requests
 // of a workspace in 5 s where 72.8 are allowed. Within two seconds one node logged "carriers=1 live=4 share=1.0000",
 // another "carriers=2 live=4 share=0.5000", and two "carriers=4 live=4 share=0.2500".
-func TestLimitHoldsUnderDoubts(t *testing.T) {
+func TestLimitHoldsUnderSuspicions(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ nodes, carriers int }{{4, 4}, {30, 6}} {
 		for seed := range uint64(3) {
@@ -445,9 +445,9 @@
 	}
 }
 
-// TestUsualWorkIsAdmitted sends normal load, evenly and to two nodes of six. With lending almost nothing may be
+// TestNormalLoadIsAdmitted sends normal load, evenly and to two nodes of six. With lending almost nothing may be
 // refused; with fixed shares of six nodes a quarter would be, and with fixed shares of all nodes nearly everything.
-func TestUsualWorkIsAdmitted(t *testing.T) {
+func TestNormalLoadIsAdmitted(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name     string
@@ -481,8 +481,8 @@
 	}
 }
 
-// TestStartServesWhatComesBack kills all processes of a fleet for 1.5 s, and sends the backlog when they restart.
-func TestStartServesWhatComesBack(t *testing.T) {
+// TestRestartServesBacklog kills all processes of a fleet for 1.5 s, and sends the backlog when they restart.
+func TestRestartServesBacklog(t *testing.T) {
 	f := newFleet(t, 30, 6, true, 7)
 	f.run(20*clock.Second, rates, f.evenLoad(1))
 	f.refused = map[ident.Workspace]int{}
--- a/limit/long_test.go
+++ b/limit/long_test.go
@@ -8,9 +8,9 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// TestLongAtTheRate has a workspace send 1.2 times its rate for 20 s. No window forbids its rate, so it must get at
-// least 0.97 of it, whether callers send to all carriers, to two of them, or to one.
-func TestLongAtTheRate(t *testing.T) {
+// TestSustainedLoadAtRate has a workspace send 1.2 times its rate for 20 s. No window forbids its rate, so it must get
+// at least 0.97 of it, whether callers send to all carriers, to two of them, or to one.
+func TestSustainedLoadAtRate(t *testing.T) {
 	t.Parallel()
 	const times, least = 1.2, 0.97
 	for _, nodes := range []int{30, 97} {
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -89,10 +89,10 @@
 	}
 }
 
-// TestProcessThatHasJustStartedHasAPart starts a process among running ones. When it waited until the others counted
+// TestStartingProcessHoldsShare starts a process among running ones. When it waited until the others counted
 // it, no node held a share for three seconds if all had restarted one after the other: 31 nodes served 4.0 s after all
 // were killed, instead of 1.0, and 6.3 % of a day's requests were refused instead of 1.9 %.
-func TestProcessThatHasJustStartedHasAPart(t *testing.T) {
+func TestStartingProcessHoldsShare(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
 	table := limit.New(c, bounds)
@@ -105,8 +105,8 @@
 	is.Equal(share, 1.0/3)
 }
 
-// TestStandstillIsNoSaving pauses a process for as long as would fill its account.
-func TestStandstillIsNoSaving(t *testing.T) {
+// TestPauseDoesNotAccrue pauses a process for as long as would fill its account.
+func TestPauseDoesNotAccrue(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
 	table := singleNodeTable(c)
@@ -120,10 +120,10 @@
 	is.True(!ok) // others may have been given its share
 }
 
-// TestStandstillIsNoSavingBeforeTheNextTick pauses and resumes a process that then handles queued requests before its
+// TestPauseDoesNotAccrueBeforeNextTick pauses and resumes a process that then handles queued requests before its
 // next tick. Five of five requests were admitted that way. Six nodes that did so one after the other in a window each
 // used their share once more, while the others had used it already.
-func TestStandstillIsNoSavingBeforeTheNextTick(t *testing.T) {
+func TestPauseDoesNotAccrueBeforeNextTick(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
 	table := singleNodeTable(c)
@@ -179,8 +179,8 @@
 	is.True(!ok)
 }
 
-// TestReturnedRequestsCountAgain refunds a request that did not run.
-func TestReturnedRequestsCountAgain(t *testing.T) {
+// TestRefundedRequestsCountAgain refunds a request that did not run.
+func TestRefundedRequestsCountAgain(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
 	table := singleNodeTable(c)
@@ -197,9 +197,9 @@
 	is.True(ok)
 }
 
-// TestManyWorkspacesAsk uses more workspaces in a minute than the table keeps. Later ones must still get their quota,
-// and one that has used up its own must not get it again.
-func TestManyWorkspacesAsk(t *testing.T) {
+// TestMoreWorkspacesThanAccounts uses more workspaces in a minute than the table keeps. Later ones must still get their
+// quota, and one that has used up its own must not get it again.
+func TestMoreWorkspacesThanAccounts(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(50_000)
 	table := singleNodeTable(c)
--- a/limit/walk_test.go
+++ b/limit/walk_test.go
@@ -118,10 +118,10 @@
 	})
 }
 
-// TestFleetThatStartsInACut restarts all processes of a fleet while it is split in halves, and overloads it: neither
+// TestFleetStartsInPartition restarts all processes of a fleet while it is split in halves, and overloads it: neither
 // half has been in contact with the other. Only the half that is in contact with most of the configured seeds may use
 // the limits; without that rule both would, and 1,025 requests would run where 654 are allowed.
-func TestFleetThatStartsInACut(t *testing.T) {
+func TestFleetStartsInPartition(t *testing.T) {
 	f := newFleet(t, 30, 6, true, 1)
 	f.run(10*clock.Second, rates, f.evenLoad(0.1))
 	f.partition(15)
@@ -130,10 +130,10 @@
 	f.check("started in a network partition")
 }
 
-// TestFleetThatComesBackFromACut splits four of five nodes into two and two, neither of which holds a share, and heals
+// TestFleetRecoversFromPartition splits four of five nodes into two and two, neither of which holds a share, and heals
 // the partition. When each node counted one sharer besides itself, and took half of the limits at once, 667 requests
 // ran within 5 s where 654 are allowed.
-func TestFleetThatComesBackFromACut(t *testing.T) {
+func TestFleetRecoversFromPartition(t *testing.T) {
 	f := newFleet(t, 5, 4, true, 0)
 	f.run(800, rates, f.loadOnAll(0))
 	f.nodes[4].down = true
@@ -145,11 +145,11 @@
 	f.check("after a network partition")
 }
 
-// TestCutThatMovesAsAFleetStarts starts a fleet of 13 that is split into 7 and 6, of which the 7 hold the limits, and
+// TestPartitionMovesDuringStart starts a fleet of 13 that is split into 7 and 6, of which the 7 hold the limits, and
 // changes the split to 3 and 10 before the two sides were in contact. The three are in contact with 3 of the 7 nodes
 // that they ever knew and keep their shares, while the ten are in contact with all ten that they know and divide the
 // limits anew: 667 requests ran within 5 s where 654 are allowed.
-func TestCutThatMovesAsAFleetStarts(t *testing.T) {
+func TestPartitionMovesDuringStart(t *testing.T) {
 	f := newFleet(t, 13, 7, true, 9)
 	flood := func(first, last int, times float64) func(ident.Workspace, *node) float64 {
 		return func(w ident.Workspace, n *node) float64 {
@@ -166,9 +166,9 @@
 	f.check("a network partition that moves")
 }
 
-// TestCutsThatMoveAsAFleetStarts moves network partitions of many sizes, while nodes that lose their majority notice it
+// TestPartitionsMoveDuringStart moves network partitions of many sizes, while nodes that lose their majority notice it
 // at once, or only after as long as a suspicion lasts. At no time may two sides hold the limits.
-func TestCutsThatMoveAsAFleetStarts(t *testing.T) {
+func TestPartitionsMoveDuringStart(t *testing.T) {
 	t.Parallel()
 	const nodes, flood = 13, 4
 	for _, notices := range []clock.Millis{0, 2500} {
