--- a/assign/sharers.go
+++ b/assign/sharers.go
@@ -22,7 +22,7 @@
 	seen map[ident.Node]presence
 	// joinedAt is when this node became a sharer, and observedAt the time of the last observation.
 	joinedAt, observedAt clock.Millis
-	shares               bool
+	isSharer             bool
 }
 
 // presence is when a node was first and last seen as a sharer, apart from gaps shorter than SettleTime.
@@ -38,25 +38,25 @@
 // Observe takes the nodes that are sharers in the current view, and whether this node is one. It returns how many
 // sharers to count, and whether this node holds a share, which it does once the others must have seen it as a sharer.
 // On a cold start there is nobody to wait for, and nodes taken for sharers while few were known held no share.
-func (s *Sharers) Observe(sharing []ident.Node, shares, coldStart bool, now clock.Millis) (count int, settled bool) {
+func (s *Sharers) Observe(sharers []ident.Node, isSharer, coldStart bool, now clock.Millis) (count int, holdsShare bool) {
 	since := now
 	if coldStart {
 		since -= SettleTime
 		clear(s.seen)
 	}
 	paused := now-s.observedAt > SettleTime // the process was paused, and others may no longer count it
-	if shares && (!s.shares || paused) {
+	if isSharer && (!s.isSharer || paused) {
 		s.joinedAt = since
 	}
-	s.shares, s.observedAt = shares, now
-	s.record(sharing, since, now)
-	return s.count(), shares && now-s.joinedAt >= SettleTime
+	s.isSharer, s.observedAt = isSharer, now
+	s.record(sharers, since, now)
+	return s.count(), isSharer && now-s.joinedAt >= SettleTime
 }
 
 // record adds an observation; nodes not seen recently count as present since the given time.
-func (s *Sharers) record(sharing []ident.Node, since, now clock.Millis) {
+func (s *Sharers) record(sharers []ident.Node, since, now clock.Millis) {
 	maps.DeleteFunc(s.seen, func(_ ident.Node, at presence) bool { return now-at.last > SettleTime })
-	for _, n := range sharing {
+	for _, n := range sharers {
 		at, found := s.seen[n]
 		if !found {
 			at.first = since
--- a/limit/deal.go
+++ b/limit/deal.go
@@ -79,12 +79,12 @@
 }
 
 // fraction returns the fraction of its share that the node may use now.
-func (m *seedContact) fraction(v View, now clock.Millis) float64 {
-	if !m.reachedMost {
-		m.since = now
+func (s *seedContact) fraction(v View, now clock.Millis) float64 {
+	if !s.reachedMost {
+		s.since = now
 	}
-	m.reachedMost = v.ReachedMostSeeds()
-	if v.ReachedAllSeeds() || now-m.since >= assign.SettleTime {
+	s.reachedMost = v.ReachedMostSeeds()
+	if v.ReachedAllSeeds() || now-s.since >= assign.SettleTime {
 		return 1
 	}
 	return incompleteShare
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -46,7 +46,7 @@
 	table           *limit.Table
 	clock           *pausableClock
 	startedAt       clock.Millis
-	known           int
+	peakLive        int
 	reachedAllSeeds bool
 	side            int
 	down            bool
@@ -77,9 +77,9 @@
 	loanWait = 30
 )
 
-func newFleet(t reporter, nodes, carriers int, lends bool, seed uint64) *fleet {
+func newFleet(t reporter, nodes, carriers int, lending bool, seed uint64) *fleet {
 	f := &fleet{
-		t: t, clock: clock.NewManual(100_000), rand: rand.New(rand.NewPCG(seed, 1)), carriers: carriers, lending: lends,
+		t: t, clock: clock.NewManual(100_000), rand: rand.New(rand.NewPCG(seed, 1)), carriers: carriers, lending: lending,
 		bounds:   limit.Bounds{Window: window, Overshoot: 0.1, Slack: 20},
 		admitted: map[ident.Workspace][]clock.Millis{}, refused: map[ident.Workspace]int{},
 	}
@@ -94,7 +94,7 @@
 // start starts a new process for the node.
 func (f *fleet) start(n *node) {
 	n.clock = &pausableClock{f.clock}
-	n.table, n.startedAt, n.down, n.known, n.reachedAllSeeds = limit.New(n.clock, f.bounds), f.clock.Now(), false, 0, false
+	n.table, n.startedAt, n.down, n.peakLive, n.reachedAllSeeds = limit.New(n.clock, f.bounds), f.clock.Now(), false, 0, false
 	n.heardAt = map[*node]clock.Millis{}
 }
 
@@ -117,7 +117,7 @@
 // view returns what a node knows of the fleet. The sharers are the first nodes that it is in contact with.
 func (f *fleet) view(n *node) limit.View {
 	v := limit.View{SharerCount: 0}
-	fresh := true
+	coldStart := true
 	now := f.clock.Now()
 	for _, m := range f.nodes {
 		if !f.considersReachable(n, m) {
@@ -125,16 +125,16 @@
 		}
 		v.Live++
 		if f.connected(n, m) {
-			n.known = max(n.known, m.known) // nodes exchange this on first contact
+			n.peakLive = max(n.peakLive, m.peakLive) // nodes exchange this on first contact
 		}
 		if v.SharerCount < f.carriers && n.suspectedUntil[m] <= now {
 			v.SharerCount++
 			v.Sharers = append(v.Sharers, ident.Node(fmt.Sprint(m.id)))
 			v.IsSharer = v.IsSharer || m == n
 		}
-		fresh = fresh && max(m.startedAt-n.startedAt, n.startedAt-m.startedAt) < 3*clock.Second
+		coldStart = coldStart && max(m.startedAt-n.startedAt, n.startedAt-m.startedAt) < 3*clock.Second
 	}
-	n.known = max(n.known, v.Live)
+	n.peakLive = max(n.peakLive, v.Live)
 	for _, i := range slices.Compact([]int{0, len(f.nodes) / 2, len(f.nodes) - 1}) { // the configured seeds
 		v.Seeds++
 		if f.considersReachable(n, f.nodes[i]) {
@@ -144,8 +144,8 @@
 	if n.reachedAllSeeds = n.reachedAllSeeds || v.ReachedAllSeeds(); n.reachedAllSeeds {
 		v.Seeds, v.SeedsReached = 0, 0
 	}
-	v.PeakLive, v.JustStarted = n.known, now-n.startedAt < 500
-	v.ColdStart = fresh && now-n.startedAt < 2*clock.Second
+	v.PeakLive, v.JustStarted = n.peakLive, now-n.startedAt < 500
+	v.ColdStart = coldStart && now-n.startedAt < 2*clock.Second
 	return v
 }
 
@@ -490,13 +490,13 @@
 	f.run(500, rates, f.evenLoad(0))
 	f.run(1*clock.Second, rates, f.evenLoad(2))
 	f.run(4*clock.Second, rates, f.evenLoad(1))
-	no := 0
+	refused := 0
 	for w := range rates {
-		no += f.refused[w]
+		refused += f.refused[w]
 	}
-	t.Logf("refused %d", no)
-	if no > 60 {
-		t.Errorf("refused %d of some 480, want 60 at most", no)
+	t.Logf("refused %d", refused)
+	if refused > 60 {
+		t.Errorf("refused %d of some 480, want 60 at most", refused)
 	}
 	f.check("start")
 }
--- a/limit/ledger.go
+++ b/limit/ledger.go
@@ -139,12 +139,12 @@
 
 // steadyBalance computes the balance for the usual case that the share has not changed within the window.
 func (l *ledger) steadyBalance(g grant, share float64, now clock.Millis) float64 {
-	most, perMilli := g.capacity*share, g.perMilli*share
-	balance, taken := most, 0.0
+	capacity, perMilli := g.capacity*share, g.perMilli*share
+	balance, taken := capacity, 0.0
 	for i := len(l.slots) - 1; i >= 0; i-- {
 		s := &l.slots[i]
 		taken += s.taken
-		balance = min(balance, most+perMilli*float64(max(now-s.last, 0))-taken)
+		balance = min(balance, capacity+perMilli*float64(max(now-s.last, 0))-taken)
 		taken -= s.credited
 	}
 	return balance
--- a/limit/table.go
+++ b/limit/table.go
@@ -160,7 +160,7 @@
 
 // Take admits a request if the node has quota for it. It may return a loan request to send to other nodes, also when
 // the request is admitted, so that the node doesn't run out.
-func (t *Table) Take(w ident.Workspace, r Rate) (admitted bool, q *LoanRequest) {
+func (t *Table) Take(w ident.Workspace, r Rate) (admitted bool, ask *LoanRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -175,7 +175,7 @@
 }
 
 // Retry admits a request that Take didn't, if there is quota for it by now.
-func (t *Table) Retry(w ident.Workspace, r Rate) (admitted bool, q *LoanRequest) {
+func (t *Table) Retry(w ident.Workspace, r Rate) (admitted bool, ask *LoanRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
