--- a/member/index.go
+++ b/member/index.go
@@ -14,102 +14,102 @@
 	members []*tlv1.Member
 	// shared says that members was handed out, and is copied before it changes.
 	shared bool
-	// homes are the live nodes by where they hear gossip.
-	homes map[string]home
-	// strangers are the addresses of seeds and of gone nodes that no live node has; nil if not worked out since a change.
-	strangers []string
+	// owners are the live nodes by where they hear gossip.
+	owners map[string]owner
+	// unclaimed are the addresses of seeds and of gone nodes that no live node has; nil if not worked out since a change.
+	unclaimed []string
 }
 
-// A home is who hears gossip at an address.
-type home struct {
+// A owner is who hears gossip at an address.
+type owner struct {
 	node, hall string
 }
 
 // update takes in what is known of a node now, in place of what was; nil stands for nothing.
-func (x *index) update(node string, was, is *tlv1.Member) {
+func (x *index) update(node string, old, cur *tlv1.Member) {
 	if x.shared {
 		x.members, x.shared = slices.Clone(x.members), false
 	}
 	i, found := slices.BinarySearch(x.live, node)
-	lives := is != nil && live(is)
+	nowLive := cur != nil && live(cur)
 	switch {
-	case lives && found:
-		x.members[i] = is
-	case lives:
-		x.live, x.members = slices.Insert(x.live, i, node), slices.Insert(x.members, i, is)
+	case nowLive && found:
+		x.members[i] = cur
+	case nowLive:
+		x.live, x.members = slices.Insert(x.live, i, node), slices.Insert(x.members, i, cur)
 	case found:
 		x.live, x.members = slices.Delete(x.live, i, i+1), slices.Delete(x.members, i, i+1)
 	}
-	x.move(node, was, is, lives)
+	x.updateOwner(node, old, cur, nowLive)
 }
 
-// move follows where the node hears gossip.
-func (x *index) move(node string, was, is *tlv1.Member, lives bool) {
-	if x.homes == nil {
-		x.homes = map[string]home{}
+// updateOwner follows where the node hears gossip.
+func (x *index) updateOwner(node string, old, cur *tlv1.Member, nowLive bool) {
+	if x.owners == nil {
+		x.owners = map[string]owner{}
 	}
-	if lives && was != nil && live(was) && was.GetGossipAddress() == is.GetGossipAddress() && was.GetHall() == is.GetHall() {
+	if nowLive && old != nil && live(old) && old.GetGossipAddress() == cur.GetGossipAddress() && old.GetHall() == cur.GetHall() {
 		return
 	}
-	x.strangers = nil
-	if was != nil && x.homes[was.GetGossipAddress()].node == node {
-		delete(x.homes, was.GetGossipAddress())
+	x.unclaimed = nil
+	if old != nil && x.owners[old.GetGossipAddress()].node == node {
+		delete(x.owners, old.GetGossipAddress())
 	}
-	if lives {
-		x.homes[is.GetGossipAddress()] = home{node: node, hall: is.GetHall()}
+	if nowLive {
+		x.owners[cur.GetGossipAddress()] = owner{node: node, hall: cur.GetHall()}
 	}
 }
 
-// strangers returns the addresses of seeds and of gone nodes that no live node has.
-func (t *Table) strangers() []string {
+// unclaimedAddresses returns the addresses of seeds and of gone nodes that no live node has.
+func (t *Table) unclaimedAddresses() []string {
 	x := &t.index
-	if x.strangers != nil {
-		return x.strangers
+	if x.unclaimed != nil {
+		return x.unclaimed
 	}
 	list := slices.Clone(t.seeds)
-	for _, name := range slices.Sorted(maps.Keys(t.unwell)) {
+	for _, name := range slices.Sorted(maps.Keys(t.notAlive)) {
 		if m := t.entries[name].member; !live(m) {
 			list = append(list, m.GetGossipAddress())
 		}
 	}
 	slices.Sort(list)
-	x.strangers = slices.DeleteFunc(slices.Compact(list), func(a string) bool {
-		_, known := x.homes[a]
+	x.unclaimed = slices.DeleteFunc(slices.Compact(list), func(a string) bool {
+		_, known := x.owners[a]
 		return known || a == t.self.GetGossipAddress()
 	})
-	if x.strangers == nil {
-		x.strangers = []string{}
+	if x.unclaimed == nil {
+		x.unclaimed = []string{}
 	}
-	return x.strangers
+	return x.unclaimed
 }
 
-// someLive returns up to n live nodes by chance.
-func (t *Table) someLive(n int, not string) []string {
+// randomLive returns up to n live nodes by chance.
+func (t *Table) randomLive(n int, exclude string) []string {
 	names := t.index.live
 	n = min(n, len(names))
-	if len(names) > sparseSample*n {
-		return t.sample(names, n, not)
+	if len(names) > minSampleRatio*n {
+		return t.sample(names, n, exclude)
 	}
 	var chosen []string
 	for _, i := range t.rand.Perm(len(names)) {
 		if len(chosen) == n {
 			break
 		}
-		if names[i] != not {
+		if names[i] != exclude {
 			chosen = append(chosen, names[i])
 		}
 	}
 	return chosen
 }
 
-// sparseSample is how many times as many names there must be for a sample to be drawn one by one.
-const sparseSample = 4
+// minSampleRatio is how many times as many names there must be for a sample to be drawn one by one.
+const minSampleRatio = 4
 
 // sample draws n of many more names.
-func (t *Table) sample(names []string, n int, not string) (chosen []string) {
+func (t *Table) sample(names []string, n int, exclude string) (chosen []string) {
 	for len(chosen) < n {
 		name := names[t.rand.IntN(len(names))]
-		if name != not && !slices.Contains(chosen, name) {
+		if name != exclude && !slices.Contains(chosen, name) {
 			chosen = append(chosen, name)
 		}
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -14,8 +14,8 @@
 	member *tlv1.Member
 	// suspectAt is when this node first held it suspect.
 	suspectAt int64
-	// warned says that the suspect was told.
-	warned bool
+	// notified says that the suspect was told.
+	notified bool
 	// goneAt is when this node first held it gone.
 	goneAt int64
 }
@@ -66,51 +66,51 @@
 	}
 }
 
-// news holds what is still to be passed on, with how often.
-type news struct {
-	left map[string]int
+// broadcasts holds what is still to be passed on, with how often.
+type broadcasts struct {
+	remaining map[string]int
 }
 
-func newNews() *news {
-	return &news{left: map[string]int{}}
+func newBroadcasts() *broadcasts {
+	return &broadcasts{remaining: map[string]int{}}
 }
 
-func (n *news) add(node string, times int) {
-	n.left[node] = times
+func (n *broadcasts) set(node string, times int) {
+	n.remaining[node] = times
 }
 
-// addAtLeast is add for news that may be passed on oftener already.
-func (n *news) addAtLeast(node string, times int) {
-	n.left[node] = max(n.left[node], times)
+// raise is add for news that may be passed on oftener already.
+func (n *broadcasts) raise(node string, times int) {
+	n.remaining[node] = max(n.remaining[node], times)
 }
 
-// take returns up to limit nodes to tell of, those told least first, and counts them as told. It is asked for each message,
+// next returns up to limit nodes to tell of, those told least first, and counts them as told. It is asked for each message,
 // with up to a word of each node of the fleet: the few that come first are picked out, and the others not sorted.
-func (n *news) take(limit int) []string {
+func (n *broadcasts) next(limit int) []string {
 	nodes := make([]string, 0, limit+1)
-	for node, left := range n.left {
-		if len(nodes) == limit && !n.before(node, left, nodes[limit-1]) {
+	for node, left := range n.remaining {
+		if len(nodes) == limit && !n.less(node, left, nodes[limit-1]) {
 			continue
 		}
 		i := len(nodes)
-		for i > 0 && n.before(node, left, nodes[i-1]) {
+		for i > 0 && n.less(node, left, nodes[i-1]) {
 			i--
 		}
 		nodes = slices.Insert(nodes, i, node)
 		nodes = nodes[:min(limit, len(nodes))]
 	}
 	for _, node := range nodes {
-		n.left[node]--
-		if n.left[node] <= 0 {
-			delete(n.left, node)
+		n.remaining[node]--
+		if n.remaining[node] <= 0 {
+			delete(n.remaining, node)
 		}
 	}
 	return nodes
 }
 
-// before says whether a node of which so much is left to tell comes before another one.
-func (n *news) before(node string, left int, other string) bool {
-	if d := left - n.left[other]; d != 0 {
+// less says whether a node of which so much is left to tell comes less another one.
+func (n *broadcasts) less(node string, left int, other string) bool {
+	if d := left - n.remaining[other]; d != 0 {
 		return d > 0
 	}
 	return node < other
--- a/member/probe.go
+++ b/member/probe.go
@@ -27,7 +27,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	if now-t.lastTick > pausedAfter {
+	if now-t.lastTick > pauseThreshold {
 		t.resume(now)
 	}
 	t.lastTick = now
@@ -54,29 +54,29 @@
 
 func (t *Table) checkProbes(now clock.Millis) []Send {
 	var sends []Send
-	stretch := clock.Millis(1 + t.slowness)
+	scale := clock.Millis(1 + t.healthScore)
 	for seq, p := range t.probes {
 		switch age := now - p.at; {
-		case age >= t.timing.SuspectAfter*stretch:
+		case age >= t.timing.SuspectAfter*scale:
 			delete(t.probes, seq)
-			sends = append(sends, t.missed(p.node, now)...)
+			sends = append(sends, t.suspect(p.node, now)...)
 		case age >= t.timing.RelayAfter && !p.relayed && p.node != "":
 			p.relayed = true
 			t.probes[seq] = p
-			sends = append(sends, t.askOthers(seq, p)...)
+			sends = append(sends, t.requestRelays(seq, p)...)
 		}
 	}
 	for seq, r := range t.relays {
-		if now-r.at > t.timing.SuspectAfter*maxSlowness {
+		if now-r.at > t.timing.SuspectAfter*maxHealthScore {
 			delete(t.relays, seq)
 		}
 	}
 	return sends
 }
 
-func (t *Table) askOthers(seq uint64, p probe) []Send {
+func (t *Table) requestRelays(seq uint64, p probe) []Send {
 	var sends []Send
-	for _, name := range t.someLive(relays, p.node) {
+	for _, name := range t.randomLive(relayCount, p.node) {
 		s := t.message(tlv1.GossipKind_GOSSIP_KIND_RELAY, seq, t.entries[name].member.GetGossipAddress())
 		s.Gossip.RelayAddress = p.address
 		sends = append(sends, s)
@@ -84,37 +84,37 @@
 	return sends
 }
 
-// missed holds a node suspect that nobody got an answer from, and tells it so at once.
-func (t *Table) missed(node string, now clock.Millis) []Send {
-	t.slowness = min(t.slowness+1, maxSlowness)
+// suspect holds a node suspect that nobody got an answer from, and tells it so at once.
+func (t *Table) suspect(node string, now clock.Millis) []Send {
+	t.healthScore = min(t.healthScore+1, maxHealthScore)
 	e := t.entries[node]
 	if e == nil || e.member.GetState() != tlv1.NodeState_NODE_STATE_ALIVE {
 		return nil
 	}
 	m := proto.CloneOf(e.member)
 	m.State = tlv1.NodeState_NODE_STATE_SUSPECT
-	t.take(m, now)
-	return []Send{t.warn(t.entries[node], now)}
+	t.apply(m, now)
+	return []Send{t.pingSuspect(t.entries[node], now)}
 }
 
 // checkSuspects asks each suspect once more half-way, and gives up those that stay silent.
 func (t *Table) checkSuspects(now clock.Millis) []Send {
 	var sends []Send
-	for _, name := range slices.Sorted(maps.Keys(t.unwell)) {
+	for _, name := range slices.Sorted(maps.Keys(t.notAlive)) {
 		e := t.entries[name]
 		switch e.member.GetState() {
 		case tlv1.NodeState_NODE_STATE_SUSPECT:
 			age := now - clock.Millis(e.suspectAt)
 			if age >= t.timing.GoneAfter {
-				t.giveUp(e, now)
-			} else if age >= t.timing.GoneAfter/2 && !e.warned {
-				e.warned = true
-				sends = append(sends, t.warn(e, now))
+				t.markGone(e, now)
+			} else if age >= t.timing.GoneAfter/2 && !e.notified {
+				e.notified = true
+				sends = append(sends, t.pingSuspect(e, now))
 			}
 		case tlv1.NodeState_NODE_STATE_GONE:
-			if now-clock.Millis(e.goneAt) >= keepGone {
+			if now-clock.Millis(e.goneAt) >= goneRetention {
 				delete(t.entries, name)
-				delete(t.unwell, name)
+				delete(t.notAlive, name)
 				t.index.update(name, e.member, nil)
 				t.version++
 			}
@@ -123,17 +123,17 @@
 	return sends
 }
 
-// warn returns a ping that tells a suspect what it is held for, so that it can say otherwise.
-func (t *Table) warn(e *entry, now clock.Millis) Send {
+// pingSuspect returns a ping that tells a suspect what it is held for, so that it can say otherwise.
+func (t *Table) pingSuspect(e *entry, now clock.Millis) Send {
 	s := t.ping(e.member.GetNode(), e.member.GetGossipAddress(), now)
 	s.Gossip.Members = append(s.Gossip.Members, e.member)
 	return s
 }
 
-func (t *Table) giveUp(e *entry, now clock.Millis) {
+func (t *Table) markGone(e *entry, now clock.Millis) {
 	m := proto.CloneOf(e.member)
 	m.State = tlv1.NodeState_NODE_STATE_GONE
-	t.take(m, now)
+	t.apply(m, now)
 }
 
 // probeNext probes the next live node, and now and then an address where nobody is known.
@@ -142,13 +142,13 @@
 	if name := t.nextLive(); name != "" {
 		sends = append(sends, t.ping(name, t.entries[name].member.GetGossipAddress(), now))
 	}
-	strangers := t.strangers()
-	if len(strangers) == 0 {
+	unclaimed := t.unclaimedAddresses()
+	if len(unclaimed) == 0 {
 		return sends
 	}
-	if len(sends) == 0 || now-t.lastSeed >= strangerEvery {
-		t.lastSeed = now
-		sends = append(sends, t.ping("", strangers[t.rand.IntN(len(strangers))], now))
+	if len(sends) == 0 || now-t.lastUnclaimedProbe >= unclaimedProbeInterval {
+		t.lastUnclaimedProbe = now
+		sends = append(sends, t.ping("", unclaimed[t.rand.IntN(len(unclaimed))], now))
 	}
 	return sends
 }
@@ -159,7 +159,7 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	var sends []Send
-	for _, address := range t.strangers() {
+	for _, address := range t.unclaimedAddresses() {
 		sends = append(sends, t.ping("", address, now))
 	}
 	return sends
@@ -171,15 +171,15 @@
 	return t.message(tlv1.GossipKind_GOSSIP_KIND_PING, t.seq, address)
 }
 
-// farProbes is one in how many probes that may go to another hall. Bytes between halls cost more than
+// crossHallEvery is one in how many probes that may go to another hall. Bytes between halls cost more than
 // those within one, and a node's own hall finds its end as well.
-const farProbes = 4
+const crossHallEvery = 4
 
 // nextLive goes through the live nodes in a shuffled round, more often through those of this hall.
 func (t *Table) nextLive() string {
-	t.rounds++
-	if t.rounds%farProbes != 0 {
-		if name := t.nextOf(&t.nearOrder, t.inHall); name != "" {
+	t.probeCount++
+	if t.probeCount%crossHallEvery != 0 {
+		if name := t.nextOf(&t.hallOrder, t.inHall); name != "" {
 			return name
 		}
 	}
--- a/member/table.go
+++ b/member/table.go
@@ -15,20 +15,20 @@
 
 // Bounds of one datagram and of one probe.
 const (
-	newsPerMessage = 8
-	relays         = 3
-	// leaveTold is how many others hear of a planned stop at once: all of a small fleet.
-	leaveTold = 48
-	// maxSlowness bounds how far a node that misses answers stretches its own time-outs.
-	maxSlowness = 4
-	// bulk is how much news at once is taken for a node's own ignorance.
-	bulk = 16
-	// pausedAfter is a gap between ticks that means that this process was stopped.
-	pausedAfter = 1 * clock.Second
-	// keepGone is how long a gone node is remembered, and now and then probed again.
-	keepGone = 10 * clock.Minute
-	// strangerEvery is how often an address is probed that no live node is known at.
-	strangerEvery = 5 * clock.Second
+	updatesPerMessage = 8
+	relayCount        = 3
+	// leaveFanout is how many others hear of a planned stop at once: all of a small fleet.
+	leaveFanout = 48
+	// maxHealthScore bounds how far a node that misses answers stretches its own time-outs.
+	maxHealthScore = 4
+	// bulkMergeThreshold is how much news at once is taken for a node's own ignorance.
+	bulkMergeThreshold = 16
+	// pauseThreshold is a gap between ticks that means that this process was stopped.
+	pauseThreshold = 1 * clock.Second
+	// goneRetention is how long a gone node is remembered, and now and then probed again.
+	goneRetention = 10 * clock.Minute
+	// unclaimedProbeInterval is how often an address is probed that no live node is known at.
+	unclaimedProbeInterval = 5 * clock.Second
 )
 
 // Timing sets the pace of probes.
@@ -68,27 +68,27 @@
 	mu      sync.Mutex
 	self    *tlv1.Member
 	entries map[string]*entry
-	// unwell names the entries that are suspect or gone.
-	unwell map[string]bool
-	index  index
-	order  []string
-	// nearOrder is of the nodes of this hall.
-	nearOrder  []string
-	rounds     uint64
-	seeds      []string
-	news       *news
-	seq        uint64
-	probes     map[uint64]probe
-	relays     map[uint64]relay
-	slowness   int
-	lastTick   clock.Millis
-	lastProbe  clock.Millis
-	lastSeed   clock.Millis
-	lastAck    clock.Millis
-	superseded bool
-	version    uint64
-	// born is when this process began.
-	born clock.Millis
+	// notAlive names the entries that are suspect or gone.
+	notAlive map[string]bool
+	index    index
+	order    []string
+	// hallOrder is of the nodes of this hall.
+	hallOrder          []string
+	probeCount         uint64
+	seeds              []string
+	broadcasts         *broadcasts
+	seq                uint64
+	probes             map[uint64]probe
+	relays             map[uint64]relay
+	healthScore        int
+	lastTick           clock.Millis
+	lastProbe          clock.Millis
+	lastUnclaimedProbe clock.Millis
+	lastAck            clock.Millis
+	superseded         bool
+	version            uint64
+	// startedAt is when this process began.
+	startedAt clock.Millis
 }
 
 // New returns a table that knows only the node itself.
@@ -97,18 +97,18 @@
 	me.State = tlv1.NodeState_NODE_STATE_ALIVE
 	now := c.Now()
 	return &Table{
-		clock:    c,
-		timing:   t,
-		rand:     r,
-		self:     me,
-		entries:  map[string]*entry{},
-		unwell:   map[string]bool{},
-		news:     newNews(),
-		probes:   map[uint64]probe{},
-		relays:   map[uint64]relay{},
-		lastTick: now,
-		lastAck:  now,
-		born:     now,
+		clock:      c,
+		timing:     t,
+		rand:       r,
+		self:       me,
+		entries:    map[string]*entry{},
+		notAlive:   map[string]bool{},
+		broadcasts: newBroadcasts(),
+		probes:     map[uint64]probe{},
+		relays:     map[uint64]relay{},
+		lastTick:   now,
+		lastAck:    now,
+		startedAt:  now,
 	}
 }
 
@@ -117,7 +117,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seeds = append(t.seeds, addresses...)
-	t.index.strangers = nil
+	t.index.unclaimed = nil
 }
 
 // Self returns what the node says of itself.
@@ -160,7 +160,7 @@
 func (t *Table) HallAt(address string) (hall string, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h, known := t.index.homes[address]
+	h, known := t.index.owners[address]
 	return h.hall, known
 }
 
@@ -195,8 +195,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.Leaving = true
-	t.sayOfSelf()
-	return t.tell(leaveTold)
+	t.publishSelf()
+	return t.broadcast(leaveFanout)
 }
 
 // Bye returns the node's last word to the others: that it is gone.
@@ -204,39 +204,39 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = tlv1.NodeState_NODE_STATE_GONE
-	t.sayOfSelf()
-	return t.tell(2 * relays)
+	t.publishSelf()
+	return t.broadcast(2 * relayCount)
 }
 
-// tell returns the news to so many others.
-func (t *Table) tell(count int) []Send {
+// broadcast returns the news to so many others.
+func (t *Table) broadcast(count int) []Send {
 	var sends []Send
-	for _, name := range t.someLive(count, "") {
+	for _, name := range t.randomLive(count, "") {
 		sends = append(sends, t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, 0, t.entries[name].member.GetGossipAddress()))
 	}
 	return sends
 }
 
-func (t *Table) sayOfSelf() {
+func (t *Table) publishSelf() {
 	t.self.Rumor++
 	t.version++
-	t.news.add(t.self.GetNode(), t.spreadTimes())
+	t.broadcasts.set(t.self.GetNode(), t.retransmits())
 }
 
-// spreadTimes is how often news is passed on: enough to reach all with near certainty. Each node that hears it passes it
+// retransmits is how often news is passed on: enough to reach all with near certainty. Each node that hears it passes it
 // on as often; of 300, one in 10^8 or so misses what is passed on 20 times by all others.
-func (t *Table) spreadTimes() int {
+func (t *Table) retransmits() int {
 	return 2 * (bits.Len(uint(len(t.entries)+1)) + 1)
 }
 
-// busyTimes is how often it is passed on how busy a node is: there is a newer word soon.
-func (t *Table) busyTimes() int {
+// loadRetransmits is how often it is passed on how busy a node is: there is a newer word soon.
+func (t *Table) loadRetransmits() int {
 	return bits.Len(uint(len(t.entries) + 1))
 }
 
 func (t *Table) message(kind tlv1.GossipKind, seq uint64, address string) Send {
 	g := &tlv1.Gossip{Kind: kind, Seq: seq, From: proto.CloneOf(t.self)}
-	for _, node := range t.news.take(newsPerMessage) {
+	for _, node := range t.broadcasts.next(updatesPerMessage) {
 		if e := t.entries[node]; e != nil {
 			g.Members = append(g.Members, e.member)
 		}
@@ -250,27 +250,27 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	if g.GetFrom().GetNode() == "" || g.GetFrom().GetNode() == t.self.GetNode() {
-		t.takeOfSelf(g.GetFrom())
+		t.applySelf(g.GetFrom())
 		return nil
 	}
-	t.take(g.GetFrom(), now)
+	t.apply(g.GetFrom(), now)
 	for _, m := range g.GetMembers() {
-		t.take(m, now)
+		t.apply(m, now)
 	}
 	switch g.GetKind() {
 	case tlv1.GossipKind_GOSSIP_KIND_PING:
-		return []Send{t.answer(g)}
+		return []Send{t.ack(g)}
 	case tlv1.GossipKind_GOSSIP_KIND_RELAY:
 		return t.relayPing(g, now)
 	case tlv1.GossipKind_GOSSIP_KIND_ACK:
-		return t.acked(g, now)
+		return t.handleAck(g, now)
 	}
 	return nil
 }
 
-// answer returns the ack of a ping. It tells the sender what is held of it, if that is bad, or of
+// ack returns the ack of a ping. It tells the sender what is held of it, if that is bad, or of
 // another process.
-func (t *Table) answer(g *tlv1.Gossip) Send {
+func (t *Table) ack(g *tlv1.Gossip) Send {
 	s := t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, g.GetSeq(), g.GetFrom().GetGossipAddress())
 	e := t.entries[g.GetFrom().GetNode()]
 	if e != nil && (e.member.GetState() != tlv1.NodeState_NODE_STATE_ALIVE || e.member.GetIncarnation() != g.GetFrom().GetIncarnation()) {
@@ -285,7 +285,7 @@
 	return []Send{t.message(tlv1.GossipKind_GOSSIP_KIND_PING, t.seq, g.GetRelayAddress())}
 }
 
-func (t *Table) acked(g *tlv1.Gossip, now clock.Millis) []Send {
+func (t *Table) handleAck(g *tlv1.Gossip, now clock.Millis) []Send {
 	if r, found := t.relays[g.GetSeq()]; found {
 		delete(t.relays, g.GetSeq())
 		s := t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, r.seq, r.address)
@@ -297,7 +297,7 @@
 		return nil
 	}
 	delete(t.probes, g.GetSeq())
-	t.slowness = max(t.slowness-1, 0)
+	t.healthScore = max(t.healthScore-1, 0)
 	t.lastAck = now
 	return nil
 }
@@ -308,24 +308,24 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var taken []string
+	var added []string
 	for _, m := range members {
-		known := t.news.left[m.GetNode()]
-		if t.take(m, now) && known == 0 {
-			taken = append(taken, m.GetNode())
+		pending := t.broadcasts.remaining[m.GetNode()]
+		if t.apply(m, now) && pending == 0 {
+			added = append(added, m.GetNode())
 		}
 	}
-	if len(taken) > bulk {
-		for _, node := range taken {
-			delete(t.news.left, node)
+	if len(added) > bulkMergeThreshold {
+		for _, node := range added {
+			delete(t.broadcasts.remaining, node)
 		}
 	}
 }
 
-// take takes in news of one node, and passes it on if it was new, which it returns.
-func (t *Table) take(m *tlv1.Member, now clock.Millis) bool {
+// apply takes in news of one node, and passes it on if it was new, which it returns.
+func (t *Table) apply(m *tlv1.Member, now clock.Millis) bool {
 	if m.GetNode() == t.self.GetNode() {
-		t.takeOfSelf(m)
+		t.applySelf(m)
 		return false
 	}
 	e, found := t.entries[m.GetNode()]
@@ -335,11 +335,11 @@
 	if !found && !live(m) {
 		return false
 	}
-	moved := !found || moves(e.member, m)
+	routingChanged := !found || affectsRouting(e.member, m)
 	next := &entry{member: proto.CloneOf(m)}
-	t.unwell[m.GetNode()] = m.GetState() != tlv1.NodeState_NODE_STATE_ALIVE
-	if !t.unwell[m.GetNode()] {
-		delete(t.unwell, m.GetNode())
+	t.notAlive[m.GetNode()] = m.GetState() != tlv1.NodeState_NODE_STATE_ALIVE
+	if !t.notAlive[m.GetNode()] {
+		delete(t.notAlive, m.GetNode())
 	}
 	switch m.GetState() {
 	case tlv1.NodeState_NODE_STATE_SUSPECT:
@@ -348,23 +348,23 @@
 		next.goneAt = int64(now)
 	}
 	t.entries[m.GetNode()] = next
-	var was *tlv1.Member
+	var old *tlv1.Member
 	if found {
-		was = e.member
+		old = e.member
 	}
-	t.index.update(m.GetNode(), was, next.member)
-	if !moved {
-		t.news.addAtLeast(m.GetNode(), t.busyTimes())
+	t.index.update(m.GetNode(), old, next.member)
+	if !routingChanged {
+		t.broadcasts.raise(m.GetNode(), t.loadRetransmits())
 		return true
 	}
 	t.version++
-	t.news.add(m.GetNode(), t.spreadTimes())
+	t.broadcasts.set(m.GetNode(), t.retransmits())
 	return true
 }
 
-// moves says whether work may go elsewhere by the news b of a node of which a was known. How busy it is changes
+// affectsRouting says whether work may go elsewhere by the news b of a node of which a was known. How busy it is changes
 // often, and is looked at now and then.
-func moves(a, b *tlv1.Member) bool {
+func affectsRouting(a, b *tlv1.Member) bool {
 	return lifeOf(a) != lifeOf(b) || a.GetIncarnation() != b.GetIncarnation() || a.GetState() != b.GetState() ||
 		a.GetLeaving() != b.GetLeaving() || a.GetWeight() != b.GetWeight() || a.GetHall() != b.GetHall() ||
 		a.GetGossipAddress() != b.GetGossipAddress() || a.GetPeerAddress() != b.GetPeerAddress() || a.GetCallerAddress() != b.GetCallerAddress()
@@ -379,39 +379,39 @@
 	}
 	t.self.Busy = requests
 	t.self.Rumor++
-	t.news.addAtLeast(t.self.GetNode(), t.busyTimes())
+	t.broadcasts.raise(t.self.GetNode(), t.loadRetransmits())
 }
 
-// takeOfSelf answers bad news of this process, outlives an earlier process in this place, and notes a
+// applySelf answers bad news of this process, outlives an earlier process in this place, and notes a
 // later one.
-func (t *Table) takeOfSelf(m *tlv1.Member) {
+func (t *Table) applySelf(m *tlv1.Member) {
 	switch {
 	case m.GetIncarnation() != t.self.GetIncarnation():
-		t.takeOfOther(m)
+		t.applyOtherProcess(m)
 	case m.GetState() == tlv1.NodeState_NODE_STATE_ALIVE || m.GetRumor() < t.self.GetRumor():
 		return
 	case t.isolated():
 		return // it is true that nobody can reach us
 	case t.self.GetState() == tlv1.NodeState_NODE_STATE_ALIVE:
 		t.self.Rumor = m.GetRumor()
-		t.sayOfSelf()
+		t.publishSelf()
 	}
 }
 
-// outliveWithin is how long after its start a process takes one that seems to be later than itself for
+// takeoverWindow is how long after its start a process takes one that seems to be later than itself for
 // an earlier one, of the time before the VM's clock went back. It is longer than news of the
 // earlier one takes to come.
-const outliveWithin = 5 * clock.Second
+const takeoverWindow = 5 * clock.Second
 
-// takeOfOther takes in news of another process of this node. One that had this process's address has
+// applyOtherProcess takes in news of another process of this node. One that had this process's address has
 // ended, since this one listens there.
-func (t *Table) takeOfOther(m *tlv1.Member) {
+func (t *Table) applyOtherProcess(m *tlv1.Member) {
 	switch {
 	case lifeOf(m) < lifeOf(t.self):
 		return
-	case m.GetGossipAddress() == t.self.GetGossipAddress() && t.clock.Now()-t.born < outliveWithin:
+	case m.GetGossipAddress() == t.self.GetGossipAddress() && t.clock.Now()-t.startedAt < takeoverWindow:
 		t.self.Life = lifeOf(m) + 1
-		t.sayOfSelf()
+		t.publishSelf()
 	default:
 		t.superseded = true
 	}
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -23,10 +23,10 @@
 	frozen map[string]bool
 	cut    map[[2]string]bool
 	loss   float64
-	queue  []parcel
+	queue  []packet
 }
 
-type parcel struct {
+type packet struct {
 	from, to string
 	gossip   *tlv1.Gossip
 }
@@ -57,7 +57,7 @@
 
 func (w *net) send(from string, sends []member.Send) {
 	for _, s := range sends {
-		w.queue = append(w.queue, parcel{from: from, to: s.Address, gossip: s.Gossip})
+		w.queue = append(w.queue, packet{from: from, to: s.Address, gossip: s.Gossip})
 	}
 }
 
