--- a/access/proof.go
+++ b/access/proof.go
@@ -20,7 +20,7 @@
 func (p *Proof) Answered(sent, received, reading clock.Millis, holds bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.store.Answered(sent, received, reading) {
+	if !p.store.Observe(sent, received, reading) {
 		p.proved = 0
 	}
 	if holds {
@@ -33,7 +33,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if latest > 0 {
-		p.store.Bound(sent, latest)
+		p.store.ObserveBound(sent, latest)
 	}
 }
 
--- a/clock/remote.go
+++ b/clock/remote.go
@@ -13,27 +13,27 @@
 	// offset is the least by which local time is ahead of the other's readings, as found at.
 	offset Millis
 	at     Millis
-	// shown is the last reading of an answer, received at shownAt.
-	shown, shownAt Millis
+	// lastReading is the last reading of an answer, received at lastReadingAt.
+	lastReading, lastReadingAt Millis
 }
 
-// Answered takes in the reading that an answer showed, to a question that was sent and answered at local times.
+// Observe takes in the reading that an answer showed, to a question that was sent and answered at local times.
 // It returns false if the other clock was set: what it showed before says nothing now.
-func (r *Remote) Answered(sent, received, reading Millis) bool {
-	back := r.shown > 0 && sent >= r.shownAt && reading < r.shown
+func (r *Remote) Observe(sent, received, reading Millis) bool {
+	back := r.lastReading > 0 && sent >= r.lastReadingAt && reading < r.lastReading
 	ahead := r.known && r.offsetAt(received) > received-reading
 	if back || ahead {
 		r.known = false
 	}
-	if sent >= r.shownAt {
-		r.shown, r.shownAt = reading, received
+	if sent >= r.lastReadingAt {
+		r.lastReading, r.lastReadingAt = reading, received
 	}
-	r.Bound(sent, reading)
+	r.ObserveBound(sent, reading)
 	return !back && !ahead
 }
 
-// Bound takes in the latest that the other clock may have shown when a question was sent.
-func (r *Remote) Bound(sent, latest Millis) {
+// ObserveBound takes in the latest that the other clock may have shown when a question was sent.
+func (r *Remote) ObserveBound(sent, latest Millis) {
 	if offset := sent - latest; !r.known || offset > r.offsetAt(sent) {
 		r.known, r.offset, r.at = true, offset, sent
 	}
--- a/clock/remote_test.go
+++ b/clock/remote_test.go
@@ -12,15 +12,15 @@
 	if _, ok := r.Earliest(10, 20); ok {
 		t.Error("a clock that nothing is known of dates a reading")
 	}
-	r.Answered(5000, 6300, 5290) // shown at 6290; it may have been at 5000
+	r.Observe(5000, 6300, 5290) // shown at 6290; it may have been at 5000
 	if got, ok := r.Earliest(5290, 6300); !ok || got != 5000 {
 		t.Errorf("earliest %d, %v; want 5000", got, ok)
 	}
-	r.Answered(7000, 7008, 6004) // a quick answer tells more
+	r.Observe(7000, 7008, 6004) // a quick answer tells more
 	if got, ok := r.Earliest(5290, 7010); !ok || got != 6286 {
 		t.Errorf("earliest %d, %v; want 6286", got, ok)
 	}
-	r.Answered(8000, 9300, 8290) // a slow one takes nothing back
+	r.Observe(8000, 9300, 8290) // a slow one takes nothing back
 	if got, ok := r.Earliest(8290, 9300); !ok || got < 9280 || got > 9290 {
 		t.Errorf("earliest %d, %v; want about 9286", got, ok)
 	}
@@ -35,10 +35,10 @@
 // TestRemoteForgetsAClockThatWentBack hands in an answer that the clock known before cannot have given.
 func TestRemoteForgetsAClockThatWentBack(t *testing.T) {
 	var r clock.Remote
-	if !r.Answered(1000, 1004, 502) {
+	if !r.Observe(1000, 1004, 502) {
 		t.Error("the first answer contradicts nothing")
 	}
-	if r.Answered(2000, 2004, 300) {
+	if r.Observe(2000, 2004, 300) {
 		t.Error("a clock that went back is not noticed")
 	}
 	if got, ok := r.Earliest(300, 2004); !ok || got != 2000 {
@@ -49,7 +49,7 @@
 // TestRemoteAllowsForDrift leaves a relation alone for long: it may not make readings younger.
 func TestRemoteAllowsForDrift(t *testing.T) {
 	var r clock.Remote
-	r.Answered(0, 0, 1_000_000)
+	r.Observe(0, 0, 1_000_000)
 	now := clock.Millis(600_000) // the other clock went 100 parts in a million slower
 	reading := 1_000_000 + now - now/10_000
 	if got, ok := r.Earliest(reading, now); !ok || got > now {
--- a/clock/suspend.go
+++ b/clock/suspend.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// wallSlack is how far the time of day may move against the steady clock until it is looked whether the machine was
+// wallTolerance is how far the time of day may move against the steady clock until it is looked whether the machine was
 // suspended. Adjusting it takes minutes for as much.
-const wallSlack Millis = 20
+const wallTolerance Millis = 20
 
 // A reading is what the machine's clocks show: the steady one, which stands still while the machine is suspended, and the
 // time of day, which does not, in milliseconds since any moments of their own.
@@ -27,27 +27,27 @@
 	boot func() (boot, steady Millis, err error)
 
 	start reading
-	// ahead is by how much boot was ahead of the steady clock at the start.
-	ahead Millis
-	// apart is by how much the time of day was ahead of the steady clock when last looked, and slept how long the machine
+	// bootOffset is by how much boot was bootOffset of the steady clock at the start.
+	bootOffset Millis
+	// wallOffset is by how much the time of day was ahead of the steady clock when last looked, and suspended how long the machine
 	// was suspended since the start.
-	apart, slept atomic.Int64
+	wallOffset, suspended atomic.Int64
 }
 
 // NewSystem returns the machine's clock.
 func NewSystem() Clock {
-	began := time.Now()
+	start := time.Now()
 	return newSystem(func() reading {
 		now := time.Now()
-		return reading{steady: FromDuration(now.Sub(began)), wall: Millis(now.UnixMilli())}
+		return reading{steady: FromDuration(now.Sub(start)), wall: Millis(now.UnixMilli())}
 	}, bootTime)
 }
 
 func newSystem(read func() reading, boot func() (boot, steady Millis, err error)) *system {
 	c := &system{read: read, boot: boot, start: read()}
-	c.apart.Store(int64(c.start.wall - c.start.steady))
+	c.wallOffset.Store(int64(c.start.wall - c.start.steady))
 	if b, steady, err := boot(); err == nil {
-		c.ahead = b - steady
+		c.bootOffset = b - steady
 	}
 	return c
 }
@@ -55,25 +55,25 @@
 // Now implements Clock.
 func (c *system) Now() Millis {
 	now := c.read()
-	apart := now.wall - now.steady
-	if moved := apart - Millis(c.apart.Load()); max(moved, -moved) > wallSlack {
-		c.look(apart)
+	wallOffset := now.wall - now.steady
+	if moved := wallOffset - Millis(c.wallOffset.Load()); max(moved, -moved) > wallTolerance {
+		c.checkSuspend(wallOffset)
 	}
-	return c.start.wall + now.steady - c.start.steady + Millis(c.slept.Load())
+	return c.start.wall + now.steady - c.start.steady + Millis(c.suspended.Load())
 }
 
-// look asks the kernel how long the machine was suspended. Several may at once, and find the same; what was found is
+// checkSuspend asks the kernel how long the machine was suspended. Several may at once, and find the same; what was found is
 // never taken back.
-func (c *system) look(apart Millis) {
+func (c *system) checkSuspend(wallOffset Millis) {
 	if b, steady, err := c.boot(); err == nil {
-		for slept := int64(b - steady - c.ahead); ; {
-			was := c.slept.Load()
-			if slept <= was || c.slept.CompareAndSwap(was, slept) {
+		for suspended := int64(b - steady - c.bootOffset); ; {
+			prev := c.suspended.Load()
+			if suspended <= prev || c.suspended.CompareAndSwap(prev, suspended) {
 				break
 			}
 		}
 	}
-	c.apart.Store(int64(apart))
+	c.wallOffset.Store(int64(wallOffset))
 }
 
 // bootTime reads both of the kernel's steady clocks, the one that counts suspensions last: between them nothing is
--- a/ident/ident.go
+++ b/ident/ident.go
@@ -35,12 +35,12 @@
 
 // Prefixes of document keys.
 const (
-	// AllServices is the prefix of the keys of all services.
-	AllServices = "svc/"
-	// AllWorkspaces is the prefix of the keys of all workspaces.
-	AllWorkspaces = "ws/"
-	// AllHalls is the prefix of the keys of all halls.
-	AllHalls = "hall/"
+	// ServicesPrefix is the prefix of the keys of all services.
+	ServicesPrefix = "svc/"
+	// WorkspacesPrefix is the prefix of the keys of all workspaces.
+	WorkspacesPrefix = "ws/"
+	// HallsPrefix is the prefix of the keys of all halls.
+	HallsPrefix = "hall/"
 )
 
 // ErrName says that a name is empty, too long, or has a character that names may not have.
@@ -80,7 +80,7 @@
 
 // Key returns the key of the service's document.
 func (s Service) Key() Key {
-	return Key(AllServices + s.String())
+	return Key(ServicesPrefix + s.String())
 }
 
 // ParseService reads what String gave.
@@ -101,7 +101,7 @@
 
 // ServiceOf returns the service whose document has the key, if it is a service's.
 func ServiceOf(k Key) (Service, bool) {
-	rest, found := strings.CutPrefix(string(k), AllServices)
+	rest, found := strings.CutPrefix(string(k), ServicesPrefix)
 	if !found {
 		return Service{}, false
 	}
@@ -111,17 +111,17 @@
 
 // ServicePrefix is the prefix of the keys of all of a workspace's services.
 func ServicePrefix(w Workspace) string {
-	return AllServices + string(w) + "/"
+	return ServicesPrefix + string(w) + "/"
 }
 
 // WorkspaceKey returns the key of the workspace's own document.
 func WorkspaceKey(w Workspace) Key {
-	return Key(AllWorkspaces + string(w))
+	return Key(WorkspacesPrefix + string(w))
 }
 
 // HallKey returns the key of the hall's document.
 func HallKey(h Hall) Key {
-	return Key(AllHalls + string(h))
+	return Key(HallsPrefix + string(h))
 }
 
 // A Process struct names one process of a node.
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -8,29 +8,29 @@
 
 import "github.com/tinladder/tinladder/clock"
 
-// Shares of the grace period, in hundredths.
+// Shares of the grace period, in percent.
 const (
 	// acceptShare is for how long connections are taken: callers may keep an address that long before they ask again.
 	acceptShare = 45
-	// takeShare is for how long requests are taken that may last beyond the end, and would be cut. Most are over long
+	// requestShare is for how long requests are taken that may last beyond the end, and would be cut. Most are over long
 	// before their time is.
-	takeShare = 48
-	// restShare is for how long connections that rest are left open: a caller may send on one as it is closed.
-	restShare = 84
-	// answerShare is when what is still at work is answered by the node itself, and endShare when it ends. What is left is
+	requestShare = 48
+	// idleShare is for how long connections that rest are left open: a caller may send on one as it is closed.
+	idleShare = 84
+	// respondShare is when what is still at work is answered by the node itself, and endShare when it ends. What is left is
 	// for a node that learns late that it is to leave, as on a machine that is overloaded.
-	answerShare = 90
-	endShare    = 92
-	hundredths  = 100
+	respondShare = 90
+	endShare     = 92
+	percent      = 100
 )
 
 const (
-	// answerTime is what an answer takes, after a request's time is over, to be out of the node.
-	answerTime clock.Millis = 50
-	// endTime is the least that a node ends before its grace period, and lastTime that it answers before it ends: a
+	// responseMargin is what an answer takes, after a request's time is over, to be out of the node.
+	responseMargin clock.Millis = 50
+	// minEndMargin is the least that a node ends before its grace period, and lastTime that it answers before it ends: a
 	// share of a short one is less than the steps take.
-	endTime  clock.Millis = 60
-	lastTime clock.Millis = 40
+	minEndMargin      clock.Millis = 60
+	minResponseMargin clock.Millis = 40
 )
 
 // A Plan is for a node with so long a grace period.
@@ -45,12 +45,12 @@
 const (
 	// Serve serves whoever comes, and sends callers away with their answers.
 	Serve Step = iota
-	// Shut takes no further connections.
-	Shut
-	// HangUp ends connections that rest.
-	HangUp
-	// Answer answers what is still at work, as far as is known of it.
-	Answer
+	// StopAccepting takes no further connections.
+	StopAccepting
+	// CloseWhenIdle ends connections that rest.
+	CloseWhenIdle
+	// RespondPending answers what is still at work, as far as is known of it.
+	RespondPending
 	// End closes what is left.
 	End
 )
@@ -60,42 +60,42 @@
 	return [...]string{"serve", "shut", "hang-up", "answer", "end"}[s]
 }
 
-// Open is what is open at a node.
-type Open struct {
+// Conns is what is open at a node.
+type Conns struct {
 	// Callers are the connections of callers, and All those of all doors.
 	Callers, All int
 }
 
 // Next returns the step, so long after the node was told to leave.
-func (p Plan) Next(elapsed clock.Millis, o Open) Step {
+func (p Plan) Next(elapsed clock.Millis, o Conns) Step {
 	switch {
-	case elapsed < min(p.share(acceptShare), p.end()):
+	case elapsed < min(p.share(acceptShare), p.endAt()):
 		return Serve
-	case o.All == 0, elapsed >= p.end():
+	case o.All == 0, elapsed >= p.endAt():
 		return End
-	case elapsed >= p.answer():
-		return Answer
-	case o.Callers == 0, elapsed >= p.share(restShare):
-		return HangUp
+	case elapsed >= p.respondAt():
+		return RespondPending
+	case o.Callers == 0, elapsed >= p.share(idleShare):
+		return CloseWhenIdle
 	}
-	return Shut
+	return StopAccepting
 }
 
-// Takes says whether a request is taken that may last so long: one that will have ended before the node does, whatever
+// Accepts says whether a request is taken that may last so long: one that will have ended before the node does, whatever
 // becomes of it, and early on any.
-func (p Plan) Takes(elapsed, limit clock.Millis) bool {
-	return elapsed < p.share(takeShare) || elapsed+limit+answerTime <= p.answer()
+func (p Plan) Accepts(elapsed, limit clock.Millis) bool {
+	return elapsed < p.share(requestShare) || elapsed+limit+responseMargin <= p.respondAt()
 }
 
-// end is when the node ends, and answer when what is still at work is answered.
-func (p Plan) end() clock.Millis {
-	return min(p.share(endShare), p.Grace-endTime)
+// endAt is when the node ends, and answer when what is still at work is answered.
+func (p Plan) endAt() clock.Millis {
+	return min(p.share(endShare), p.Grace-minEndMargin)
 }
 
-func (p Plan) answer() clock.Millis {
-	return min(p.share(answerShare), p.end()-lastTime)
+func (p Plan) respondAt() clock.Millis {
+	return min(p.share(respondShare), p.endAt()-minResponseMargin)
 }
 
 func (p Plan) share(hundredth clock.Millis) clock.Millis {
-	return p.Grace * hundredth / hundredths
+	return p.Grace * hundredth / percent
 }
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -11,22 +11,22 @@
 var plan = leave.Plan{Grace: 6000}
 
 func TestNext(t *testing.T) {
-	none, peers, resting := leave.Open{}, leave.Open{All: 2}, leave.Open{Callers: 1, All: 3}
+	none, peers, resting := leave.Conns{}, leave.Conns{All: 2}, leave.Conns{Callers: 1, All: 3}
 	for _, c := range []struct {
 		name    string
 		elapsed clock.Millis
-		open    leave.Open
+		open    leave.Conns
 		want    leave.Step
 	}{
 		{"callers may come", 0, none, leave.Serve},
 		{"until others know", 2699, none, leave.Serve},
 		{"nobody is there", 2700, none, leave.End},
-		{"a caller rests, with grace left", 2700, resting, leave.Shut},
-		{"it still rests", 5039, resting, leave.Shut},
-		{"it may not any more", 5040, resting, leave.HangUp},
-		{"only other nodes rest", 2700, peers, leave.HangUp},
-		{"something is at work", 5400, resting, leave.Answer},
-		{"something of another node is", 5400, peers, leave.Answer},
+		{"a caller rests, with grace left", 2700, resting, leave.StopAccepting},
+		{"it still rests", 5039, resting, leave.StopAccepting},
+		{"it may not any more", 5040, resting, leave.CloseWhenIdle},
+		{"only other nodes rest", 2700, peers, leave.CloseWhenIdle},
+		{"something is at work", 5400, resting, leave.RespondPending},
+		{"something of another node is", 5400, peers, leave.RespondPending},
 		{"nothing is, late", 5400, none, leave.End},
 		{"it is time", 5520, resting, leave.End},
 	} {
@@ -53,7 +53,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(plan.Takes(c.elapsed, c.limit), c.want)
+			is.Equal(plan.Accepts(c.elapsed, c.limit), c.want)
 		})
 	}
 }
@@ -66,8 +66,8 @@
 		p := leave.Plan{Grace: grace}
 		for elapsed := grace / 2; elapsed <= grace; elapsed += grace / 200 {
 			for limit := clock.Millis(0); limit < grace; limit += grace / 100 {
-				if p.Takes(elapsed, limit) {
-					is.True(p.Next(elapsed+limit, leave.Open{Callers: 1, All: 1}) < leave.Answer)
+				if p.Accepts(elapsed, limit) {
+					is.True(p.Next(elapsed+limit, leave.Conns{Callers: 1, All: 1}) < leave.RespondPending)
 				}
 			}
 		}
--- a/member/probe.go
+++ b/member/probe.go
@@ -23,7 +23,7 @@
 }
 
 // Tick moves the table on and returns what to send. Call it about ten times a second.
-func (t *Table) Tick() []Send {
+func (t *Table) Tick() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -31,10 +31,10 @@
 		t.resume(now)
 	}
 	t.lastTick = now
-	var sends []Send
+	var sends []Message
 	sends = append(sends, t.checkProbes(now)...)
 	sends = append(sends, t.checkSuspects(now)...)
-	if now-t.lastProbe >= t.timing.ProbeEvery {
+	if now-t.lastProbe >= t.timing.ProbeInterval {
 		t.lastProbe = now
 		sends = append(sends, t.probeNext(now)...)
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-func (t *Table) checkProbes(now clock.Millis) []Send {
-	var sends []Send
+func (t *Table) checkProbes(now clock.Millis) []Message {
+	var sends []Message
 	scale := clock.Millis(1 + t.healthScore)
 	for seq, p := range t.probes {
 		switch age := now - p.at; {
@@ -74,8 +74,8 @@
 	return sends
 }
 
-func (t *Table) requestRelays(seq uint64, p probe) []Send {
-	var sends []Send
+func (t *Table) requestRelays(seq uint64, p probe) []Message {
+	var sends []Message
 	for _, name := range t.randomLive(relayCount, p.node) {
 		s := t.message(tlv1.GossipKind_GOSSIP_KIND_RELAY, seq, t.entries[name].member.GetGossipAddress())
 		s.Gossip.RelayAddress = p.address
@@ -85,7 +85,7 @@
 }
 
 // suspect holds a node suspect that nobody got an answer from, and tells it so at once.
-func (t *Table) suspect(node string, now clock.Millis) []Send {
+func (t *Table) suspect(node string, now clock.Millis) []Message {
 	t.healthScore = min(t.healthScore+1, maxHealthScore)
 	e := t.entries[node]
 	if e == nil || e.member.GetState() != tlv1.NodeState_NODE_STATE_ALIVE {
@@ -94,12 +94,12 @@
 	m := proto.CloneOf(e.member)
 	m.State = tlv1.NodeState_NODE_STATE_SUSPECT
 	t.apply(m, now)
-	return []Send{t.pingSuspect(t.entries[node], now)}
+	return []Message{t.pingSuspect(t.entries[node], now)}
 }
 
 // checkSuspects asks each suspect once more half-way, and gives up those that stay silent.
-func (t *Table) checkSuspects(now clock.Millis) []Send {
-	var sends []Send
+func (t *Table) checkSuspects(now clock.Millis) []Message {
+	var sends []Message
 	for _, name := range slices.Sorted(maps.Keys(t.notAlive)) {
 		e := t.entries[name]
 		switch e.member.GetState() {
@@ -124,7 +124,7 @@
 }
 
 // pingSuspect returns a ping that tells a suspect what it is held for, so that it can say otherwise.
-func (t *Table) pingSuspect(e *entry, now clock.Millis) Send {
+func (t *Table) pingSuspect(e *entry, now clock.Millis) Message {
 	s := t.ping(e.member.GetNode(), e.member.GetGossipAddress(), now)
 	s.Gossip.Members = append(s.Gossip.Members, e.member)
 	return s
@@ -137,8 +137,8 @@
 }
 
 // probeNext probes the next live node, and now and then an address where nobody is known.
-func (t *Table) probeNext(now clock.Millis) []Send {
-	var sends []Send
+func (t *Table) probeNext(now clock.Millis) []Message {
+	var sends []Message
 	if name := t.nextLive(); name != "" {
 		sends = append(sends, t.ping(name, t.entries[name].member.GetGossipAddress(), now))
 	}
@@ -154,18 +154,18 @@
 }
 
 // Join returns a ping for each seed that no live node is known at, for a node that knows nobody yet.
-func (t *Table) Join() []Send {
+func (t *Table) Join() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var sends []Send
+	var sends []Message
 	for _, address := range t.unclaimedAddresses() {
 		sends = append(sends, t.ping("", address, now))
 	}
 	return sends
 }
 
-func (t *Table) ping(node, address string, now clock.Millis) Send {
+func (t *Table) ping(node, address string, now clock.Millis) Message {
 	t.seq++
 	t.probes[t.seq] = probe{node: node, address: address, at: now}
 	return t.message(tlv1.GossipKind_GOSSIP_KIND_PING, t.seq, address)
--- a/member/table.go
+++ b/member/table.go
@@ -33,7 +33,7 @@
 
 // Timing sets the pace of probes.
 type Timing struct {
-	ProbeEvery clock.Millis
+	ProbeInterval clock.Millis
 	// RelayAfter is when others are asked to probe too.
 	RelayAfter clock.Millis
 	// SuspectAfter is when a node without answer is held suspect.
@@ -46,15 +46,15 @@
 
 // DefaultTiming finds a dead node in about five seconds.
 var DefaultTiming = Timing{
-	ProbeEvery:    500,
+	ProbeInterval: 500,
 	RelayAfter:    250,
 	SuspectAfter:  700,
 	GoneAfter:     2500,
 	IsolatedAfter: 3000,
 }
 
-// A Send struct is a message to be sent.
-type Send struct {
+// A Message struct is a message to be sent.
+type Message struct {
 	Address string
 	Gossip  *tlv1.Gossip
 }
@@ -112,8 +112,8 @@
 	}
 }
 
-// Seed adds addresses where nodes may live, for good.
-func (t *Table) Seed(addresses []string) {
+// AddSeeds adds addresses where nodes may live, for good.
+func (t *Table) AddSeeds(addresses []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seeds = append(t.seeds, addresses...)
@@ -189,9 +189,9 @@
 	return t.superseded
 }
 
-// Leave says that the node is leaving, and returns the word to others that carries the news at once: a node
+// AnnounceLeaving says that the node is leaving, and returns the word to others that carries the news at once: a node
 // that hears of it by a probe only would send it callers for up to a second more.
-func (t *Table) Leave() []Send {
+func (t *Table) AnnounceLeaving() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.Leaving = true
@@ -199,8 +199,8 @@
 	return t.broadcast(leaveFanout)
 }
 
-// Bye returns the node's last word to the others: that it is gone.
-func (t *Table) Bye() []Send {
+// AnnounceGone returns the node's last word to the others: that it is gone.
+func (t *Table) AnnounceGone() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = tlv1.NodeState_NODE_STATE_GONE
@@ -209,8 +209,8 @@
 }
 
 // broadcast returns the news to so many others.
-func (t *Table) broadcast(count int) []Send {
-	var sends []Send
+func (t *Table) broadcast(count int) []Message {
+	var sends []Message
 	for _, name := range t.randomLive(count, "") {
 		sends = append(sends, t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, 0, t.entries[name].member.GetGossipAddress()))
 	}
@@ -234,18 +234,18 @@
 	return bits.Len(uint(len(t.entries) + 1))
 }
 
-func (t *Table) message(kind tlv1.GossipKind, seq uint64, address string) Send {
+func (t *Table) message(kind tlv1.GossipKind, seq uint64, address string) Message {
 	g := &tlv1.Gossip{Kind: kind, Seq: seq, From: proto.CloneOf(t.self)}
 	for _, node := range t.broadcasts.next(updatesPerMessage) {
 		if e := t.entries[node]; e != nil {
 			g.Members = append(g.Members, e.member)
 		}
 	}
-	return Send{Address: address, Gossip: g}
+	return Message{Address: address, Gossip: g}
 }
 
 // Receive takes a message in and returns what to send.
-func (t *Table) Receive(g *tlv1.Gossip) []Send {
+func (t *Table) Receive(g *tlv1.Gossip) []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -259,7 +259,7 @@
 	}
 	switch g.GetKind() {
 	case tlv1.GossipKind_GOSSIP_KIND_PING:
-		return []Send{t.ack(g)}
+		return []Message{t.ack(g)}
 	case tlv1.GossipKind_GOSSIP_KIND_RELAY:
 		return t.relayPing(g, now)
 	case tlv1.GossipKind_GOSSIP_KIND_ACK:
@@ -270,7 +270,7 @@
 
 // ack returns the ack of a ping. It tells the sender what is held of it, if that is bad, or of
 // another process.
-func (t *Table) ack(g *tlv1.Gossip) Send {
+func (t *Table) ack(g *tlv1.Gossip) Message {
 	s := t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, g.GetSeq(), g.GetFrom().GetGossipAddress())
 	e := t.entries[g.GetFrom().GetNode()]
 	if e != nil && (e.member.GetState() != tlv1.NodeState_NODE_STATE_ALIVE || e.member.GetIncarnation() != g.GetFrom().GetIncarnation()) {
@@ -279,19 +279,19 @@
 	return s
 }
 
-func (t *Table) relayPing(g *tlv1.Gossip, now clock.Millis) []Send {
+func (t *Table) relayPing(g *tlv1.Gossip, now clock.Millis) []Message {
 	t.seq++
 	t.relays[t.seq] = relay{address: g.GetFrom().GetGossipAddress(), seq: g.GetSeq(), at: now}
-	return []Send{t.message(tlv1.GossipKind_GOSSIP_KIND_PING, t.seq, g.GetRelayAddress())}
+	return []Message{t.message(tlv1.GossipKind_GOSSIP_KIND_PING, t.seq, g.GetRelayAddress())}
 }
 
-func (t *Table) handleAck(g *tlv1.Gossip, now clock.Millis) []Send {
+func (t *Table) handleAck(g *tlv1.Gossip, now clock.Millis) []Message {
 	if r, found := t.relays[g.GetSeq()]; found {
 		delete(t.relays, g.GetSeq())
 		s := t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, r.seq, r.address)
 		s.Gossip.From = g.GetFrom()
 		s.Gossip.RelayAddress = t.self.GetGossipAddress()
-		return []Send{s}
+		return []Message{s}
 	}
 	if _, found := t.probes[g.GetSeq()]; !found {
 		return nil
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -48,14 +48,14 @@
 func (w *net) start(name string, inc uint64) {
 	self := &tlv1.Member{Node: name, Incarnation: inc, Hall: fmt.Sprint("h", int(name[len(name)-1])%3), GossipAddress: name}
 	t := member.New(self, member.DefaultTiming, w.clock, rand.New(rand.NewPCG(w.rand.Uint64(), 2)))
-	t.Seed([]string{"n00", "n01"})
+	t.AddSeeds([]string{"n00", "n01"})
 	if w.tables[name] == nil {
 		w.order = append(w.order, name)
 	}
 	w.tables[name] = t
 }
 
-func (w *net) send(from string, sends []member.Send) {
+func (w *net) send(from string, sends []member.Message) {
 	for _, s := range sends {
 		w.queue = append(w.queue, packet{from: from, to: s.Address, gossip: s.Gossip})
 	}
@@ -248,12 +248,12 @@
 	is := is.New(t)
 	w := newNet(10, 9)
 	w.run(10 * clock.Second)
-	w.tables["n01"].Leave()
+	w.tables["n01"].AnnounceLeaving()
 	w.run(3 * clock.Second)
 	for _, m := range w.tables["n09"].Live() {
 		is.Equal(m.GetLeaving(), m.GetNode() == "n01")
 	}
-	w.send("n01", w.tables["n01"].Bye())
+	w.send("n01", w.tables["n01"].AnnounceGone())
 	w.tables["n01"] = nil
 	w.run(2 * clock.Second)
 	is.Equal(w.seenBy("n01"), 0)
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -131,7 +131,7 @@
 	n := d.node
 	n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Confirm{Confirm: &tlv1.Confirm{
 		Node: string(n.self.Node), Incarnation: uint64(n.self.Incarnation), Hall: string(n.hall()),
-		PeerAddress: n.settings().Node.PeersAddress(), Kinds: d.kindSums(), Deaf: d.hall.Deaf(),
+		PeerAddress: n.settings().Node.PeersAddress(), Kinds: d.kindSums(), Deaf: d.hall.Failing(),
 	}}}, addresses...)
 }
 
--- a/node/decoded_test.go
+++ b/node/decoded_test.go
@@ -43,7 +43,7 @@
 			x := aTarget(t, rnd.IntN(60), 1+rnd.Uint64N(300))
 			switch rnd.IntN(8) {
 			case 0:
-				x.Gone, x.Value = true, nil
+				x.Deleted, x.Value = true, nil
 			case 1:
 				x.Value = []byte("broken")
 			}
--- a/node/duty.go
+++ b/node/duty.go
@@ -111,7 +111,7 @@
 		weights, place = nil, -1
 	}
 	d.mu.Unlock()
-	calm := d.hall.Calm()
+	calm := d.hall.Healthy()
 	if calm && place >= 0 {
 		return place
 	}
@@ -127,7 +127,7 @@
 		d.mu.Unlock()
 	}
 	place = d.hall.Rank(weights)
-	if calm && d.hall.Calm() {
+	if calm && d.hall.Healthy() {
 		d.mu.Lock()
 		if d.weighed == version {
 			d.place = place
@@ -139,13 +139,13 @@
 
 // wanted says whether this node should ask the store for the kind now, and counts the question if so.
 func (d *duty) wanted(k store.Kind) bool {
-	return !d.node.leaving.started() && d.due(k) && d.hall.Admits()
+	return !d.node.leaving.started() && d.due(k) && d.hall.AllowQuery()
 }
 
 // nextLook is in how long a node without the duty looks again: what it knows has to grow old before it takes the duty up,
 // unless it becomes the first to watch.
 func (d *duty) nextLook(k store.Kind) clock.Millis {
-	if !d.known(k) || d.hall.Deaf() || d.node.clock.Now()-d.since <= watcher.StaleAfter {
+	if !d.known(k) || d.hall.Failing() || d.node.clock.Now()-d.since <= watcher.StaleAfter {
 		return dutyCheck
 	}
 	return min(max(watcher.StaleAfter-d.overdue(k), dutyCheck), dutyRest)
@@ -154,13 +154,13 @@
 // due says whether word of the kind is due.
 func (d *duty) due(k store.Kind) bool {
 	now := d.node.clock.Now()
-	if k == store.Suspects && d.hall.Deaf() {
+	if k == store.Suspects && d.hall.Failing() {
 		return false // whether the store answers again shows by the other kinds
 	}
 	if !d.known(k) {
 		return now-d.since >= d.startWait()
 	}
-	q := watcher.Question{Age: d.overdue(k), Rank: d.rank(), Leads: k == store.State}
+	q := watcher.Query{Age: d.overdue(k), Rank: d.rank(), Primary: k == store.State}
 	if q.Rank == 0 && now-d.since <= watcher.StaleAfter/2 {
 		q.Rank = 1 // one that has just started lets the others watch on
 	}
@@ -200,7 +200,7 @@
 			pause(ctx, d.nextLook(k))
 			continue
 		}
-		if d.hall.Deaf() {
+		if d.hall.Failing() {
 			d.confirm() // the hall hears that this node asks
 		}
 		next, at, err := d.ask(ctx, k, d.mark(k))
@@ -299,7 +299,7 @@
 		return r.Mark, at, err
 	}
 	if len(r.Records) > 0 {
-		at = r.Records[0].At
+		at = r.Records[0].ReadAt
 	}
 	if len(news) == 0 {
 		return r.Mark, at, nil
@@ -356,7 +356,7 @@
 	d.confirmed[k], d.asked[k] = max(d.confirmed[k], at), d.node.clock.Now()
 	d.missing = d.missing && k != store.State
 	d.mu.Unlock()
-	if d.hall.Answered() {
+	if d.hall.QuerySucceeded() {
 		d.node.metrics.storeAway(false)
 		d.node.log.WithFields(logrus.Fields{"event": "store_regained", "kind": k}).Warn()
 	}
@@ -367,7 +367,7 @@
 
 // lost notes that the store did not answer this node.
 func (d *duty) lost(k store.Kind, err error) {
-	wait, first := d.hall.TurnedAway()
+	wait, first := d.hall.QueryFailed()
 	d.mu.Lock()
 	d.missing = true
 	d.mu.Unlock()
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -21,9 +21,9 @@
 func (r *records) evacuations() map[ident.Hall]evacuation {
 	byHall := map[ident.Hall]evacuation{}
 	for _, x := range r.sets[store.Evacuations].All() {
-		e := evacuation{inForce: !x.Gone}
-		if x.Gone {
-			e.restoredAt = x.At
+		e := evacuation{inForce: !x.Deleted}
+		if x.Deleted {
+			e.restoredAt = x.ReadAt
 		}
 		byHall[ident.Hall(x.Key)] = e
 	}
@@ -39,11 +39,11 @@
 func (r *records) tellEvacuations(news []replica.Record, from string) {
 	for _, x := range news {
 		event := "hall_evacuated"
-		if x.Gone {
+		if x.Deleted {
 			event = "hall_restored"
 		}
 		r.node.log.WithFields(logrus.Fields{
-			"event": event, "hall": x.Key, "version": x.Version, "from": from, "read_ms": r.node.clock.Now() - x.At,
+			"event": event, "hall": x.Key, "version": x.Version, "from": from, "read_ms": r.node.clock.Now() - x.ReadAt,
 		}).Warn()
 	}
 }
--- a/node/handon.go
+++ b/node/handon.go
@@ -101,7 +101,7 @@
 	}
 	return &tlv1.Record{
 		Key: packed.Key, Version: packed.Version, Packed: packed.Packed, Base: packed.Base, Check: packed.Check,
-		AgeMs: int64(max(h.clock.Now()-x.At, 0)),
+		AgeMs: int64(max(h.clock.Now()-x.ReadAt, 0)),
 	}, nil
 }
 
--- a/node/leave.go
+++ b/node/leave.go
@@ -58,7 +58,7 @@
 // late says whether a request that may last so long comes so late that the node could end before it does. It would be
 // cut, and a run-once one be lost: it is refused, and has not run here.
 func (l *leaving) late(limit clock.Millis) bool {
-	return l.started() && !l.plan().Takes(l.elapsed(), limit)
+	return l.started() && !l.plan().Accepts(l.elapsed(), limit)
 }
 
 func (l *leaving) plan() leave.Plan {
@@ -113,7 +113,7 @@
 		d.SendAway()
 	}
 	n.log.WithFields(logrus.Fields{"event": "leaving", "node": n.self.Node, "grace_ms": l.plan().Grace, "in_flight": l.busy.Load()}).Warn()
-	n.sendGossip(n.members.Leave())
+	n.sendGossip(n.members.AnnounceLeaving())
 	n.duty.confirm()
 	for last := leave.Serve; last != leave.End; time.Sleep(leaveCheck.Duration()) {
 		next := l.plan().Next(l.elapsed(), l.open())
@@ -121,11 +121,11 @@
 			last++
 			l.take(last)
 		}
-		if next >= leave.HangUp {
+		if next >= leave.CloseWhenIdle {
 			l.hangUp()
 		}
 	}
-	n.sendGossip(n.members.Bye())
+	n.sendGossip(n.members.AnnounceGone())
 }
 
 // hangUp ends connections that rest, those too that began to after the last time.
@@ -144,11 +144,11 @@
 func (l *leaving) take(s leave.Step) {
 	l.tell(s)
 	switch s {
-	case leave.Shut:
+	case leave.StopAccepting:
 		l.shut(func(name string) bool { return name != peersDoor })
-	case leave.HangUp:
+	case leave.CloseWhenIdle:
 		l.shut(func(name string) bool { return name == peersDoor })
-	case leave.Answer:
+	case leave.RespondPending:
 		l.answer()
 	}
 }
@@ -164,7 +164,7 @@
 }
 
 // open counts what is open at all doors.
-func (l *leaving) open() (o leave.Open) {
+func (l *leaving) open() (o leave.Conns) {
 	for _, d := range l.node.doors {
 		n := d.Open()
 		o.All += n
--- a/node/node.go
+++ b/node/node.go
@@ -49,7 +49,7 @@
 // memberTiming finds a dead node in about a second and a half, and passes it over in the
 // directory's answers after half of that.
 var memberTiming = member.Timing{
-	ProbeEvery: 400, RelayAfter: 150, SuspectAfter: 400, GoneAfter: 1500, IsolatedAfter: 2500,
+	ProbeInterval: 400, RelayAfter: 150, SuspectAfter: 400, GoneAfter: 1500, IsolatedAfter: 2500,
 }
 
 // A Platform struct is what the node has of the platform.
@@ -136,7 +136,7 @@
 		GossipAddress: s.Node.PeersAddress(), PeerAddress: s.Node.PeersAddress(), CallerAddress: s.Node.Callers,
 	}
 	n.members = member.New(self, memberTiming, n.clock, newRand())
-	n.members.Seed(s.Fleet.Seeds)
+	n.members.AddSeeds(s.Fleet.Seeds)
 	n.ledger = once.NewLedger(n.self, once.DefaultLimits, n.clock, newRand())
 	n.suspects = newSuspects(n)
 	n.records = newRecords(n)
--- a/node/packs.go
+++ b/node/packs.go
@@ -88,7 +88,7 @@
 		}
 	}
 	p.mu.Unlock()
-	mine, sums := set.Sums(), theirs.GetSums()
+	mine, sums := set.BucketSums(), theirs.GetSums()
 	if len(sums) != len(mine) {
 		return 0, false
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -45,7 +45,7 @@
 )
 
 // syncLimits bounds a comparison with another node. An answer that keeps coming is not given up.
-var syncLimits = stall.Limits{First: 400 * time.Millisecond, Next: 400 * time.Millisecond, Most: 4 * time.Second}
+var syncLimits = stall.Limits{FirstByte: 400 * time.Millisecond, Idle: 400 * time.Millisecond, Total: 4 * time.Second}
 
 // peers compares this node with others: members, and records.
 type peers struct {
@@ -173,7 +173,7 @@
 func (p *peers) giveRecords(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
 	n := p.node
 	return n.compares.give(func() (made, sent int) {
-		list := n.records.wire(k, n.records.sets[k].Differing(theirs.GetSums()))
+		list := n.records.wire(k, n.records.sets[k].Diff(theirs.GetSums()))
 		rest.Records = append(rest.Records, list)
 		made = proto.Size(list)
 		return made, made
@@ -342,7 +342,7 @@
 	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !whole, Pulls: true, Packs: true, Services: n.services.needed()}
 	for _, s := range req.Kinds {
 		if k := store.Kind(s.GetKind()); k != store.State {
-			s.Sums = n.records.sets[k].Sums()
+			s.Sums = n.records.sets[k].BucketSums()
 		}
 	}
 	if whole {
@@ -352,10 +352,10 @@
 	}
 	c := tinladderv1connect.NewFleetServiceClient(p.http, "http://"+address)
 	res, err := c.Sync(withGuard(ctx, guard), connect.NewRequest(req))
-	n.metrics.synced(err == nil, n.far(address), int(guard.Read())+proto.Size(req))
+	n.metrics.synced(err == nil, n.far(address), int(guard.BytesRead())+proto.Size(req))
 	if err != nil {
 		n.log.WithFields(logrus.Fields{
-			"event": "sync_failed", "address": address, "ms": n.clock.Now() - begun, "bytes": guard.Read(),
+			"event": "sync_failed", "address": address, "ms": n.clock.Now() - begun, "bytes": guard.BytesRead(),
 			"error": err, "cause": context.Cause(ctx),
 		}).Info()
 		return false
--- a/node/pull.go
+++ b/node/pull.go
@@ -30,7 +30,7 @@
 )
 
 // pullLimits bounds a question for a record. An answer that keeps coming is not given up.
-var pullLimits = stall.Limits{First: 800 * time.Millisecond, Next: 800 * time.Millisecond, Most: 10 * time.Second}
+var pullLimits = stall.Limits{FirstByte: 800 * time.Millisecond, Idle: 800 * time.Millisecond, Total: 10 * time.Second}
 
 // uncompressed asks for answers as they are: records come packed.
 var uncompressed = connect.WithAcceptCompression("gzip", nil, nil)
@@ -147,11 +147,11 @@
 	res, err := c.Pull(withGuard(ctx, guard), connect.NewRequest(&tlv1.PullRequest{
 		Kind: string(store.State), Held: held, PeerAddress: n.settings().Node.PeersAddress(),
 	}))
-	n.metrics.pulled(err == nil, res != nil && res.Msg.GetBusy(), n.far(address), int(guard.Read()))
+	n.metrics.pulled(err == nil, res != nil && res.Msg.GetBusy(), n.far(address), int(guard.BytesRead()))
 	if err != nil {
 		if context.Cause(ctx) != context.Canceled {
 			n.log.WithFields(logrus.Fields{
-				"event": "pull_failed", "address": address, "ms": n.clock.Now() - begun, "bytes": guard.Read(),
+				"event": "pull_failed", "address": address, "ms": n.clock.Now() - begun, "bytes": guard.BytesRead(),
 				"error": err, "cause": context.Cause(ctx),
 			}).Info()
 		}
--- a/node/records.go
+++ b/node/records.go
@@ -122,7 +122,7 @@
 		n.metrics.stateVersion(uint64(t.Version))
 		n.log.WithFields(logrus.Fields{
 			"event": "state_in_force", "version": t.Version, "from": from, "routes": len(t.Routes()),
-			"bytes": len(x.Value), "read_ms": n.clock.Now() - x.At, "behind_ms": n.lag.caughtUp(store.State, x.Version),
+			"bytes": len(x.Value), "read_ms": n.clock.Now() - x.ReadAt, "behind_ms": n.lag.caughtUp(store.State, x.Version),
 		}).Warn()
 	}
 }
@@ -223,7 +223,7 @@
 }
 
 func (r *records) tellTarget(x replica.Record, from string) {
-	f := logrus.Fields{"event": "target_record", "target": x.Key, "gone": x.Gone, "version": x.Version, "from": from}
+	f := logrus.Fields{"event": "target_record", "target": x.Key, "gone": x.Deleted, "version": x.Version, "from": from}
 	if t := registered(x); t != nil {
 		f["service"], f["address"], f["hall"], f["leaving"] = t.GetService(), t.GetAddress(), t.GetHall(), t.GetLeaving()
 	}
@@ -233,7 +233,7 @@
 // registered returns what the target said of itself, or nil.
 func registered(x replica.Record) *tlv1.RegisteredTarget {
 	t := &tlv1.RegisteredTarget{}
-	if x.Gone || proto.Unmarshal(x.Value, t) != nil {
+	if x.Deleted || proto.Unmarshal(x.Value, t) != nil {
 		return nil
 	}
 	return t
@@ -259,7 +259,7 @@
 	return target{
 		version: x.Version,
 		id:      ident.Target(x.Key), service: t.GetService(), address: t.GetAddress(), hall: ident.Hall(t.GetHall()),
-		slots: int(t.GetSlots()), leaving: t.GetLeaving(), warmAt: x.At + clock.Millis(t.GetColdMs()),
+		slots: int(t.GetSlots()), leaving: t.GetLeaving(), warmAt: x.ReadAt + clock.Millis(t.GetColdMs()),
 		life: uint64(t.GetBorn()), seq: t.GetSeq(),
 	}
 }
@@ -292,7 +292,7 @@
 	out := &tlv1.Records{Kind: string(k)}
 	for _, x := range list {
 		out.Records = append(out.Records, &tlv1.Record{
-			Key: x.Key, Version: x.Version, Gone: x.Gone, Value: x.Value, AgeMs: int64(max(now-x.At, 0)),
+			Key: x.Key, Version: x.Version, Gone: x.Deleted, Value: x.Value, AgeMs: int64(max(now-x.ReadAt, 0)),
 		})
 	}
 	return out
@@ -311,7 +311,7 @@
 			continue
 		}
 		list = append(list, replica.Record{
-			Key: x.GetKey(), Version: x.GetVersion(), Gone: x.GetGone(), Value: value, At: now - clock.Millis(x.GetAgeMs()),
+			Key: x.GetKey(), Version: x.GetVersion(), Deleted: x.GetGone(), Value: value, ReadAt: now - clock.Millis(x.GetAgeMs()),
 		})
 	}
 	k := store.Kind(m.GetKind())
--- a/node/reload.go
+++ b/node/reload.go
@@ -74,7 +74,7 @@
 	}
 	n.config.Store(next)
 	if !slices.Equal(next.Fleet.Seeds, old.Fleet.Seeds) {
-		n.members.Seed(next.Fleet.Seeds)
+		n.members.AddSeeds(next.Fleet.Seeds)
 	}
 	if level, err := logrus.ParseLevel(next.Log.Level); err == nil {
 		n.log.SetLevel(level)
--- a/node/wire.go
+++ b/node/wire.go
@@ -182,7 +182,7 @@
 	}
 }
 
-func (n *Node) sendGossip(sends []member.Send) {
+func (n *Node) sendGossip(sends []member.Message) {
 	for _, s := range sends {
 		n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Gossip{Gossip: s.Gossip}}, s.Address)
 	}
--- a/proof/capacity_test.go
+++ b/proof/capacity_test.go
@@ -58,7 +58,7 @@
 		name := fmt.Sprintf("front-some-hall-%d", i)
 		address := fmt.Sprintf("10.%d.%d.%d:8382", i%3, i/250, i%250)
 		self := &tlv1.Member{Node: name, Incarnation: 1_764_680_400_123, Hall: fmt.Sprint("hall-", i%3), GossipAddress: address, PeerAddress: address, CallerAddress: address, Weight: 64}
-		m := member.New(self, member.Timing{ProbeEvery: 400, RelayAfter: 150, SuspectAfter: 400, GoneAfter: 1500, IsolatedAfter: 2500}, c, rand.New(rand.NewPCG(uint64(i), 1)))
+		m := member.New(self, member.Timing{ProbeInterval: 400, RelayAfter: 150, SuspectAfter: 400, GoneAfter: 1500, IsolatedAfter: 2500}, c, rand.New(rand.NewPCG(uint64(i), 1)))
 		tables[address] = m
 		order = append(order, address)
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -13,8 +13,8 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// ForgetGone is how long a record that is gone is kept, so that news that is older is known as such.
-const ForgetGone = 5 * clock.Minute
+// TombstoneTTL is how long a record that is gone is kept, so that news that is older is known as such.
+const TombstoneTTL = 5 * clock.Minute
 
 // Buckets is how many parts a set is compared by: 1 KB of sums in place of some 70 bytes for each record.
 const Buckets = 128
@@ -29,20 +29,20 @@
 	Key string
 	// Version orders the records of one key. 0 says that the record is there and cannot be read.
 	Version uint64
-	// Gone says that the record was removed. It has no value then.
-	Gone  bool
-	Value []byte
-	// At is when the record was read from the store, by this node's clock.
-	At clock.Millis
+	// Deleted says that the record was removed. It has no value then.
+	Deleted bool
+	Value   []byte
+	// ReadAt is when the record was read from the store, by this node's clock.
+	ReadAt clock.Millis
 }
 
 // A Set struct holds the newest record of each key. It is safe for concurrent use.
 type Set struct {
 	clock clock.Clock
 
-	mu      sync.Mutex
-	records map[string]Record
-	goneAt  map[string]clock.Millis
+	mu        sync.Mutex
+	records   map[string]Record
+	deletedAt map[string]clock.Millis
 	// sums are of the records by the hash of their keys.
 	sums   [Buckets]uint64
 	newest uint64
@@ -50,69 +50,69 @@
 
 // New returns an empty set.
 func New(c clock.Clock) *Set {
-	return &Set{clock: c, records: map[string]Record{}, goneAt: map[string]clock.Millis{}}
+	return &Set{clock: c, records: map[string]Record{}, deletedAt: map[string]clock.Millis{}}
 }
 
 // Put takes in the records that are newer than those held, and returns them.
-func (s *Set) Put(list []Record) (news []Record) {
+func (s *Set) Put(list []Record) (changed []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(list)
 }
 
-func (s *Set) put(list []Record) (news []Record) {
+func (s *Set) put(list []Record) (changed []Record) {
 	for _, r := range list {
 		old, held := s.records[r.Key]
 		if r.Version == 0 || held && old.Version >= r.Version {
 			continue
 		}
-		if r.Gone {
+		if r.Deleted {
 			r.Value = nil
-			s.goneAt[r.Key] = s.clock.Now()
+			s.deletedAt[r.Key] = s.clock.Now()
 		} else {
-			delete(s.goneAt, r.Key)
+			delete(s.deletedAt, r.Key)
 		}
-		s.sums[bucketOf(r.Key)] ^= sumOf(old) ^ sumOf(r)
+		s.sums[bucketOf(r.Key)] ^= checksum(old) ^ checksum(r)
 		s.newest = max(s.newest, r.Version)
 		s.records[r.Key] = r
-		news = append(news, r)
+		changed = append(changed, r)
 	}
-	s.forget()
-	return news
+	s.expireTombstones()
+	return changed
 }
 
 // Replace takes in all records there are, as read at the version. Held ones that are missing are
 // gone, unless they are newer than that. It returns what is new.
-func (s *Set) Replace(list []Record, version uint64) (news []Record) {
+func (s *Set) Replace(list []Record, version uint64) (changed []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	named := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, r := range list {
-		named[r.Key] = true
+		listed[r.Key] = true
 	}
 	for key, old := range s.records {
-		if !named[key] && !old.Gone && old.Version <= version {
-			list = append(list, Record{Key: key, Version: max(version, old.Version+1), Gone: true, At: s.clock.Now()})
+		if !listed[key] && !old.Deleted && old.Version <= version {
+			list = append(list, Record{Key: key, Version: max(version, old.Version+1), Deleted: true, ReadAt: s.clock.Now()})
 		}
 	}
 	return s.put(list)
 }
 
-// forget drops records that have been gone for long.
-func (s *Set) forget() {
+// expireTombstones drops records that have been gone for long.
+func (s *Set) expireTombstones() {
 	now := s.clock.Now()
-	for key, at := range s.goneAt {
-		if now-at > ForgetGone {
-			delete(s.goneAt, key)
+	for key, at := range s.deletedAt {
+		if now-at > TombstoneTTL {
+			delete(s.deletedAt, key)
 			delete(s.records, key)
 		}
 	}
 }
 
-// sumOf is a record's part in the sum. Records that are gone have none, so that forgetting them
+// checksum is a record's part in the sum. Records that are gone have none, so that forgetting them
 // changes nothing.
-func sumOf(r Record) uint64 {
-	if r.Gone || r.Version == 0 {
+func checksum(r Record) uint64 {
+	if r.Deleted || r.Version == 0 {
 		return 0
 	}
 	x := xxhash.New()
@@ -142,17 +142,17 @@
 	return sum, s.newest
 }
 
-// Sums returns the sum of each part.
-func (s *Set) Sums() []uint64 {
+// BucketSums returns the sum of each part.
+func (s *Set) BucketSums() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.sums[:])
 }
 
-// Differing returns the records of the parts whose sums differ from those of another set, in the order of their
+// Diff returns the records of the parts whose sums differ from those of another set, in the order of their
 // keys, those that are gone too. Without sums of the other it returns all.
-func (s *Set) Differing(theirs []uint64) []Record {
-	mine := s.Sums()
+func (s *Set) Diff(theirs []uint64) []Record {
+	mine := s.BucketSums()
 	return slices.DeleteFunc(s.All(), func(r Record) bool {
 		i := bucketOf(r.Key)
 		return len(theirs) == Buckets && theirs[i] == mine[i]
@@ -178,7 +178,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, found = s.records[key]
-	return r, found && !r.Gone
+	return r, found && !r.Deleted
 }
 
 // All returns all records in the order of their keys, those that are gone too.
@@ -194,5 +194,5 @@
 
 // Live returns the records that are not gone, in the order of their keys.
 func (s *Set) Live() []Record {
-	return slices.DeleteFunc(s.All(), func(r Record) bool { return r.Gone })
+	return slices.DeleteFunc(s.All(), func(r Record) bool { return r.Deleted })
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -24,7 +24,7 @@
 			"write": func(t *rapid.T) {
 				r := replica.Record{
 					Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), Version: uint64(len(log) + 1),
-					Gone: rapid.Bool().Draw(t, "gone"), Value: []byte(fmt.Sprint(len(log))),
+					Deleted: rapid.Bool().Draw(t, "gone"), Value: []byte(fmt.Sprint(len(log))),
 				}
 				log = append(log, r)
 				now[r.Key] = r
@@ -37,7 +37,7 @@
 			"whole": func(t *rapid.T) {
 				var list []replica.Record
 				for _, r := range now {
-					if !r.Gone {
+					if !r.Deleted {
 						list = append(list, r)
 					}
 				}
@@ -48,8 +48,8 @@
 			},
 			"exchange": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "by parts") {
-					sets[0].Put(sets[1].Differing(sets[0].Sums()))
-					sets[1].Put(sets[0].Differing(sets[1].Sums()))
+					sets[0].Put(sets[1].Diff(sets[0].BucketSums()))
+					sets[1].Put(sets[0].Diff(sets[1].BucketSums()))
 				} else {
 					sets[0].Put(sets[1].All())
 					sets[1].Put(sets[0].All())
@@ -74,7 +74,7 @@
 			t.Fatalf("%s went back from %d to %d", r.Key, held[r.Key], r.Version)
 		}
 		held[r.Key] = r.Version
-		if r.Gone {
+		if r.Deleted {
 			continue
 		}
 		if w := log[r.Version-1]; w.Key != r.Key || string(w.Value) != string(r.Value) {
@@ -100,9 +100,9 @@
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	s := replica.New(c)
-	s.Put([]replica.Record{{Key: "x", Version: 5, Gone: true}})
+	s.Put([]replica.Record{{Key: "x", Version: 5, Deleted: true}})
 	is.Equal(len(s.Put([]replica.Record{{Key: "x", Version: 4}})), 0) // older news stays without effect
-	c.Advance(replica.ForgetGone + 1)
+	c.Advance(replica.TombstoneTTL + 1)
 	s.Put([]replica.Record{{Key: "y", Version: 6}})
 	is.Equal(len(s.All()), 1)
 }
@@ -128,11 +128,11 @@
 	}
 	a.Put(list)
 	b.Put(list)
-	is.Equal(len(a.Differing(b.Sums())), 0)
-	is.Equal(len(a.Differing(nil)), 2000) // a node that tells no sums gets all
+	is.Equal(len(a.Diff(b.BucketSums())), 0)
+	is.Equal(len(a.Diff(nil)), 2000) // a node that tells no sums gets all
 	a.Put([]replica.Record{{Key: "i-7", Version: 3000}})
-	a.Put([]replica.Record{{Key: "i-8", Version: 3001, Gone: true}})
-	news := a.Differing(b.Sums())
+	a.Put([]replica.Record{{Key: "i-8", Version: 3001, Deleted: true}})
+	news := a.Diff(b.BucketSums())
 	is.True(len(news) >= 2 && len(news) < 80) // two parts of 128, of 16 records each
 	is.Equal(len(b.Put(news)), 2)
 	is.Equal(a.Sum(), b.Sum())
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -13,71 +13,71 @@
 
 // Errors that a call ends with, as the cause of its context.
 var (
-	// ErrSilent says that nothing came for too long.
-	ErrSilent = errors.New("nothing came for too long")
-	// ErrEndless says that the answer kept coming for longer than any answer may.
-	ErrEndless = errors.New("the answer does not end")
+	// ErrStalled says that nothing came for too long.
+	ErrStalled = errors.New("nothing came for too long")
+	// ErrTooLong says that the answer kept coming for longer than any answer may.
+	ErrTooLong = errors.New("the answer does not end")
 )
 
 // Limits are the longest times that a call may take.
 type Limits struct {
-	// First is until the first byte of the answer's body, and Next between two pieces of it.
-	First, Next time.Duration
-	// Most is all in all.
-	Most time.Duration
+	// FirstByte is until the first byte of the answer's body, and Idle between two pieces of it.
+	FirstByte, Idle time.Duration
+	// Total is all in all.
+	Total time.Duration
 }
 
 // A Guard struct ends one call when it stalls.
 type Guard struct {
-	next   time.Duration
-	silent *time.Timer
-	most   *time.Timer
-	cancel context.CancelCauseFunc
-	read   atomic.Int64
+	idleLimit time.Duration
+	idle      *time.Timer
+	total     *time.Timer
+	cancel    context.CancelCauseFunc
+	read      atomic.Int64
 }
 
 // Watch returns a context for a call, and the guard that ends it. The guard must be closed once the answer has
 // been read.
 func Watch(ctx context.Context, l Limits) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	g := &Guard{next: l.Next, cancel: cancel}
-	g.silent = time.AfterFunc(l.First, func() { cancel(ErrSilent) })
-	g.most = time.AfterFunc(l.Most, func() { cancel(ErrEndless) })
+	g := &Guard{idleLimit: l.Idle, cancel: cancel}
+	g.idle = time.AfterFunc(l.FirstByte, func() { cancel(ErrStalled) })
+	g.total = time.AfterFunc(l.Total, func() { cancel(ErrTooLong) })
 	return ctx, g
 }
 
 // Body returns the answer's body, so that what is read of it counts as life.
 func (g *Guard) Body(body io.ReadCloser) io.ReadCloser {
-	return &watched{ReadCloser: body, guard: g}
+	return &guardedBody{ReadCloser: body, guard: g}
 }
 
-// Read returns how many bytes of the body have come.
-func (g *Guard) Read() int64 {
+// BytesRead returns how many bytes of the body have come.
+func (g *Guard) BytesRead() int64 {
 	return g.read.Load()
 }
 
 // Close ends the guard, and the call if it still goes on.
 func (g *Guard) Close() {
-	g.silent.Stop()
-	g.most.Stop()
+	g.idle.Stop()
+	g.total.Stop()
 	g.cancel(nil)
 }
 
-// piece is the most that one read takes: a reader of chunks goes on until the buffer that it is given is full, and on a
+// maxRead is the most that one read takes: a reader of chunks goes on until the buffer that it is given is full, and on a
 // small link a large one takes longer to fill than any pause may be.
-const piece = 16 << 10
+const maxRead = 16 << 10
 
-type watched struct {
+type guardedBody struct {
 	io.ReadCloser
 	guard *Guard
 }
 
 // Read implements io.Reader.
-func (w *watched) Read(p []byte) (int, error) {
-	n, err := w.ReadCloser.Read(p[:min(len(p), piece)])
+func (w *guardedBody) Read(p []byte) (int, error) {
+	n, err := w.ReadCloser.Read(p[:min(len(p), maxRead)])
 	if n > 0 {
 		w.guard.read.Add(int64(n))
-		w.guard.silent.Reset(w.guard.next)
+		w.guard.idle.Reset(w.guard.idleLimit)
 	}
 	return n, err
 }
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -28,7 +28,7 @@
 		_ = to.Close()
 	}()
 	raw, err := io.ReadAll(g.Body(from))
-	if int64(len(raw)) != g.Read() {
+	if int64(len(raw)) != g.BytesRead() {
 		return -1, err
 	}
 	return len(raw), err
@@ -36,7 +36,7 @@
 
 func TestCallsEndBySilence(t *testing.T) {
 	const short, long = 10 * time.Millisecond, 400 * time.Millisecond
-	limits := stall.Limits{First: 200 * time.Millisecond, Next: 100 * time.Millisecond, Most: 2 * time.Second}
+	limits := stall.Limits{FirstByte: 200 * time.Millisecond, Idle: 100 * time.Millisecond, Total: 2 * time.Second}
 	endless := make([]time.Duration, 1000)
 	for i := range endless {
 		endless[i] = short
@@ -49,9 +49,9 @@
 	}{
 		{"at once", []time.Duration{short, short}, nil, 2},
 		{"longer than any pause may be, in pieces", endless[:50], nil, 50},
-		{"never begins", []time.Duration{long}, stall.ErrSilent, 0},
-		{"stops midway", []time.Duration{short, short, long}, stall.ErrSilent, 2},
-		{"does not end", endless, stall.ErrEndless, 20},
+		{"never begins", []time.Duration{long}, stall.ErrStalled, 0},
+		{"stops midway", []time.Duration{short, short, long}, stall.ErrStalled, 2},
+		{"does not end", endless, stall.ErrTooLong, 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 		_, _ = io.WriteString(c, "\r\n0\r\n\r\n")
 	}))
 	defer s.Close()
-	ctx, g := stall.Watch(context.Background(), stall.Limits{First: time.Second, Next: 100 * time.Millisecond, Most: 20 * time.Second})
+	ctx, g := stall.Watch(context.Background(), stall.Limits{FirstByte: time.Second, Idle: 100 * time.Millisecond, Total: 20 * time.Second})
 	defer g.Close()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL, nil)
 	is.NoErr(err)
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -83,14 +83,14 @@
 func (s *sim) step(i int, n *simNode) {
 	now := s.clock.Now()
 	if !n.asking {
-		q := watcher.Question{Age: now - n.confirmed, Rank: n.hall.Rank(s.weights), Leads: true}
+		q := watcher.Query{Age: now - n.confirmed, Rank: n.hall.Rank(s.weights), Primary: true}
 		n.next = now + check
-		if !n.hall.Due(q) || !n.hall.Admits() {
+		if !n.hall.Due(q) || !n.hall.AllowQuery() {
 			return
 		}
 		s.calls++
 		n.asking, n.next = true, now+tick
-		if n.hall.Deaf() {
+		if n.hall.Failing() {
 			s.tell(n, true)
 		}
 		switch {
@@ -103,12 +103,12 @@
 	}
 	n.asking = false
 	if s.treat(i) == answers {
-		n.hall.Answered()
+		n.hall.QuerySucceeded()
 		n.confirmed, n.next = now, now
 		s.tell(n, false)
 		return
 	}
-	n.hall.TurnedAway()
+	n.hall.QueryFailed()
 	n.next = now + check
 	s.tell(n, true)
 }
@@ -210,8 +210,8 @@
 	s.run(5 * clock.Second)
 	n := s.nodes[40]
 	s.clock.Advance(1750)
-	is.True(n.hall.Due(watcher.Question{Age: 1750, Rank: 40, Leads: true}))
-	is.True(n.hall.Due(watcher.Question{Age: 1750, Rank: 40}))
+	is.True(n.hall.Due(watcher.Query{Age: 1750, Rank: 40, Primary: true}))
+	is.True(n.hall.Due(watcher.Query{Age: 1750, Rank: 40}))
 }
 
 // TestNodesCutFromTheirHallAskOnceTheStoreIsBack has the store away for a hall, and cuts its nodes off from each other as
