--- a/clock/suspend.go
+++ b/clock/suspend.go
@@ -14,7 +14,7 @@
 // A reading is what the machine's clocks show: the steady one, which stands still while the machine is suspended, and the
 // time of day, which does not, in milliseconds since any moments of their own.
 type reading struct {
-	steady, wall Millis
+	mono, wall Millis
 }
 
 // A system clock starts at the wall clock's time and follows the monotonic clock, which goes on while the process is
@@ -24,7 +24,7 @@
 type system struct {
 	read func() reading
 	// boot is the steady clock with all suspensions; it fails if the machine cannot tell.
-	boot func() (boot, steady Millis, err error)
+	boot func() (boot, mono Millis, err error)
 
 	start reading
 	// bootOffset is by how much boot was bootOffset of the steady clock at the start.
@@ -39,15 +39,15 @@
 	start := time.Now()
 	return newSystem(func() reading {
 		now := time.Now()
-		return reading{steady: FromDuration(now.Sub(start)), wall: Millis(now.UnixMilli())}
+		return reading{mono: FromDuration(now.Sub(start)), wall: Millis(now.UnixMilli())}
 	}, bootTime)
 }
 
-func newSystem(read func() reading, boot func() (boot, steady Millis, err error)) *system {
+func newSystem(read func() reading, boot func() (boot, mono Millis, err error)) *system {
 	c := &system{read: read, boot: boot, start: read()}
-	c.wallOffset.Store(int64(c.start.wall - c.start.steady))
-	if b, steady, err := boot(); err == nil {
-		c.bootOffset = b - steady
+	c.wallOffset.Store(int64(c.start.wall - c.start.mono))
+	if b, mono, err := boot(); err == nil {
+		c.bootOffset = b - mono
 	}
 	return c
 }
@@ -55,18 +55,18 @@
 // Now implements Clock.
 func (c *system) Now() Millis {
 	now := c.read()
-	wallOffset := now.wall - now.steady
+	wallOffset := now.wall - now.mono
 	if moved := wallOffset - Millis(c.wallOffset.Load()); max(moved, -moved) > wallTolerance {
 		c.checkSuspend(wallOffset)
 	}
-	return c.start.wall + now.steady - c.start.steady + Millis(c.suspended.Load())
+	return c.start.wall + now.mono - c.start.mono + Millis(c.suspended.Load())
 }
 
 // checkSuspend asks the kernel how long the machine was suspended. Several may at once, and find the same; what was found is
 // never taken back.
 func (c *system) checkSuspend(wallOffset Millis) {
-	if b, steady, err := c.boot(); err == nil {
-		for suspended := int64(b - steady - c.bootOffset); ; {
+	if b, mono, err := c.boot(); err == nil {
+		for suspended := int64(b - mono - c.bootOffset); ; {
 			prev := c.suspended.Load()
 			if suspended <= prev || c.suspended.CompareAndSwap(prev, suspended) {
 				break
@@ -78,7 +78,7 @@
 
 // bootTime reads both of the kernel's steady clocks, the one that counts suspensions last: between them nothing is
 // missed that the next look would not find.
-func bootTime() (boot, steady Millis, err error) {
+func bootTime() (boot, mono Millis, err error) {
 	var s, b unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &s); err != nil {
 		return 0, 0, err
--- a/clock/suspend_test.go
+++ b/clock/suspend_test.go
@@ -10,30 +10,30 @@
 
 // machine is a machine's clocks, which a test moves.
 type machine struct {
-	mu                 sync.Mutex
-	steady, wall, boot Millis
-	asked              int
-	broken             error
+	mu               sync.Mutex
+	mono, wall, boot Millis
+	bootReads        int
+	bootErr          error
 }
 
 func (m *machine) read() reading {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return reading{steady: m.steady, wall: m.wall}
+	return reading{mono: m.mono, wall: m.wall}
 }
 
-func (m *machine) bootTime() (boot, steady Millis, err error) {
+func (m *machine) bootTime() (boot, mono Millis, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked++
-	return m.boot, m.steady, m.broken
+	m.bootReads++
+	return m.boot, m.mono, m.bootErr
 }
 
 // run lets time pass.
 func (m *machine) run(d Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.steady, m.wall, m.boot = m.steady+d, m.wall+d, m.boot+d
+	m.mono, m.wall, m.boot = m.mono+d, m.wall+d, m.boot+d
 }
 
 // suspend lets time pass of which the steady clock knows nothing.
@@ -44,7 +44,7 @@
 }
 
 func newMachine() *machine {
-	return &machine{steady: 500, wall: 1_000_000, boot: 7_000}
+	return &machine{mono: 500, wall: 1_000_000, boot: 7_000}
 }
 
 // A machine that is suspended for seconds wakes with a steady clock that has not moved. All that goes by elapsed time took
@@ -56,19 +56,19 @@
 	is.Equal(c.Now(), Millis(1_000_000))
 	m.run(2 * Second)
 	is.Equal(c.Now(), Millis(1_002_000))
-	asked := m.asked
+	asked := m.bootReads
 	m.suspend(5 * Second)
 	is.Equal(c.Now(), Millis(1_007_000)) // the first look after waking knows
 	m.run(100)
 	is.Equal(c.Now(), Millis(1_007_100))
-	is.Equal(m.asked, asked+1) // and the kernel is asked but once
+	is.Equal(m.bootReads, asked+1) // and the kernel is asked but once
 	m.suspend(3 * Second)
 	m.suspend(2 * Second)
 	is.Equal(c.Now(), Millis(1_012_100))
 }
 
-// TestTimeOfDayIsNotFollowed sets the time of day forth and back, by itself and while the machine is suspended.
-func TestTimeOfDayIsNotFollowed(t *testing.T) {
+// TestWallTimeIsNotFollowed sets the time of day forth and back, by itself and while the machine is suspended.
+func TestWallTimeIsNotFollowed(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
 	c := newSystem(m.read, m.bootTime)
@@ -107,7 +107,7 @@
 		m.suspend(Millis(i))
 	}
 	wg.Wait()
-	m.broken = errors.New("no such clock")
+	m.bootErr = errors.New("no such clock")
 	before := c.Now()
 	m.suspend(Second)
 	m.run(5)
@@ -118,9 +118,9 @@
 
 func TestSystemClockOfThisMachine(t *testing.T) {
 	is := is.New(t)
-	boot, steady, err := bootTime()
+	boot, mono, err := bootTime()
 	is.NoErr(err)
-	is.True(boot >= steady)
+	is.True(boot >= mono)
 	c := NewSystem()
 	first := c.Now()
 	is.True(c.Now()-first < Second)
--- a/ident/ident.go
+++ b/ident/ident.go
@@ -52,14 +52,14 @@
 		return errors.Wrapf(ErrName, "%q", s)
 	}
 	for _, c := range []byte(s) {
-		if !nameByte(c) {
+		if !isNameByte(c) {
 			return errors.Wrapf(ErrName, "%q", s)
 		}
 	}
 	return nil
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	switch {
 	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
 		return true
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -11,7 +11,7 @@
 var plan = leave.Plan{Grace: 6000}
 
 func TestNext(t *testing.T) {
-	none, peers, resting := leave.Conns{}, leave.Conns{All: 2}, leave.Conns{Callers: 1, All: 3}
+	none, peers, idle := leave.Conns{}, leave.Conns{All: 2}, leave.Conns{Callers: 1, All: 3}
 	for _, c := range []struct {
 		name    string
 		elapsed clock.Millis
@@ -21,14 +21,14 @@
 		{"callers may come", 0, none, leave.Serve},
 		{"until others know", 2699, none, leave.Serve},
 		{"nobody is there", 2700, none, leave.End},
-		{"a caller rests, with grace left", 2700, resting, leave.StopAccepting},
-		{"it still rests", 5039, resting, leave.StopAccepting},
-		{"it may not any more", 5040, resting, leave.CloseWhenIdle},
+		{"a caller rests, with grace left", 2700, idle, leave.StopAccepting},
+		{"it still rests", 5039, idle, leave.StopAccepting},
+		{"it may not any more", 5040, idle, leave.CloseWhenIdle},
 		{"only other nodes rest", 2700, peers, leave.CloseWhenIdle},
-		{"something is at work", 5400, resting, leave.RespondPending},
+		{"something is at work", 5400, idle, leave.RespondPending},
 		{"something of another node is", 5400, peers, leave.RespondPending},
 		{"nothing is, late", 5400, none, leave.End},
-		{"it is time", 5520, resting, leave.End},
+		{"it is time", 5520, idle, leave.End},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestTakes(t *testing.T) {
+func TestAccepts(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		elapsed, limit clock.Millis
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestNothingTakenOutlastsTheEnd: whatever is taken after half of the grace period is over before what is still at work is
+// TestAcceptedRequestsEndInTime: whatever is taken after half of the grace period is over before what is still at work is
 // answered, for any grace period and limit.
-func TestNothingTakenOutlastsTheEnd(t *testing.T) {
+func TestAcceptedRequestsEndInTime(t *testing.T) {
 	is := is.New(t)
 	for _, grace := range []clock.Millis{500, 2000, 4000, 6000, 30_000} {
 		p := leave.Plan{Grace: grace}
--- a/member/probe.go
+++ b/member/probe.go
@@ -183,7 +183,7 @@
 			return name
 		}
 	}
-	return t.nextOf(&t.order, func(*entry) bool { return true })
+	return t.nextOf(&t.probeOrder, func(*entry) bool { return true })
 }
 
 // inHall says whether a node is in this one's hall.
--- a/member/stateful_test.go
+++ b/member/stateful_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestTimeToNotice prints how long the last of 43 others takes to hold a node gone.
-func TestTimeToNotice(t *testing.T) {
+// TestDetectionTime prints how long the last of 43 others takes to hold a node gone.
+func TestDetectionTime(t *testing.T) {
 	faults := map[string]func(w *net){
 		"dead":   func(w *net) { w.tables["n07"] = nil },
 		"paused": func(w *net) { w.frozen["n07"] = true },
--- a/member/table.go
+++ b/member/table.go
@@ -69,9 +69,9 @@
 	self    *tlv1.Member
 	entries map[string]*entry
 	// notAlive names the entries that are suspect or gone.
-	notAlive map[string]bool
-	index    index
-	order    []string
+	notAlive   map[string]bool
+	index      index
+	probeOrder []string
 	// hallOrder is of the nodes of this hall.
 	hallOrder          []string
 	probeCount         uint64
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -117,7 +117,7 @@
 	is.Equal(w.seenBy("n07"), 0)
 }
 
-func TestPausedNodeComesBackAndAccusesNobody(t *testing.T) {
+func TestPausedNodeReturnsAndSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	w := newNet(20, 3)
 	w.run(20 * clock.Second)
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestLeavingIsToldAndByeEndsIt(t *testing.T) {
+func TestAnnounceLeavingAndGone(t *testing.T) {
 	is := is.New(t)
 	w := newNet(10, 9)
 	w.run(10 * clock.Second)
@@ -260,8 +260,8 @@
 	is.Equal(member.ProcessOf(&tlv1.Member{Node: "a", Incarnation: 2}), ident.Process{Node: "a", Incarnation: 2})
 }
 
-// TestLiveShowsTheNewestWord has a member tell how busy it is, which moves no work, and end.
-func TestLiveShowsTheNewestWord(t *testing.T) {
+// TestLiveReturnsTheNewestRecord has a member tell how busy it is, which moves no work, and end.
+func TestLiveReturnsTheNewestRecord(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1_000_000)
 	table := member.New(&tlv1.Member{Node: "a", Incarnation: 1, GossipAddress: "a"}, member.DefaultTiming, c, rand.New(rand.NewPCG(1, 1)))
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -96,7 +96,7 @@
 	is.Equal(a.Sum(), b.Sum())
 }
 
-func TestGoneIsForgottenInTheEnd(t *testing.T) {
+func TestTombstonesExpire(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	s := replica.New(c)
@@ -117,8 +117,8 @@
 	is.Equal(string(r.Value), "good")
 }
 
-// TestDifferingNamesLittle changes one of many records, and takes in what the other set has in the parts that differ.
-func TestDifferingNamesLittle(t *testing.T) {
+// TestDiffReturnsDifferingBuckets changes one of many records, and takes in what the other set has in the parts that differ.
+func TestDiffReturnsDifferingBuckets(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	a, b := replica.New(c), replica.New(c)
@@ -132,8 +132,8 @@
 	is.Equal(len(a.Diff(nil)), 2000) // a node that tells no sums gets all
 	a.Put([]replica.Record{{Key: "i-7", Version: 3000}})
 	a.Put([]replica.Record{{Key: "i-8", Version: 3001, Deleted: true}})
-	news := a.Diff(b.BucketSums())
-	is.True(len(news) >= 2 && len(news) < 80) // two parts of 128, of 16 records each
-	is.Equal(len(b.Put(news)), 2)
+	changed := a.Diff(b.BucketSums())
+	is.True(len(changed) >= 2 && len(changed) < 80) // two parts of 128, of 16 records each
+	is.Equal(len(b.Put(changed)), 2)
 	is.Equal(a.Sum(), b.Sum())
 }
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -34,7 +34,7 @@
 	return len(raw), err
 }
 
-func TestCallsEndBySilence(t *testing.T) {
+func TestStalledCallsEnd(t *testing.T) {
 	const short, long = 10 * time.Millisecond, 400 * time.Millisecond
 	limits := stall.Limits{FirstByte: 200 * time.Millisecond, Idle: 100 * time.Millisecond, Total: 2 * time.Second}
 	endless := make([]time.Duration, 1000)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOneLongChunkIsNoSilence reads an answer that comes as one chunk, in pieces at a steady pace. The library goes on
+// TestLongChunkIsNotAStall reads an answer that comes as one chunk, in pieces at a steady pace. The library goes on
 // reading within a chunk until the reader's buffer is full, which takes the longer the more has come.
-func TestOneLongChunkIsNoSilence(t *testing.T) {
+func TestLongChunkIsNotAStall(t *testing.T) {
 	is := is.New(t)
 	const piece, pieces, pause = 8 << 10, 96, 10 * time.Millisecond
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -15,17 +15,17 @@
 
 const (
 	answers treatment = iota
-	// turns calls away at once.
-	turns
-	// silent calls are given up after giveUp.
-	silent
+	// rejects calls away at once.
+	rejects
+	// unresponsive calls are given up after giveUp.
+	unresponsive
 )
 
 const (
-	tick   clock.Millis = 10
-	check  clock.Millis = 50
-	giveUp clock.Millis = 1500
-	follow clock.Millis = 1300
+	tick        clock.Millis = 10
+	check       clock.Millis = 50
+	callTimeout clock.Millis = 1500
+	follow      clock.Millis = 1300
 )
 
 // simNode is one node of a hall that follows the store as the daemon does: one question at a time.
@@ -37,8 +37,8 @@
 	next   clock.Millis
 	asking bool
 	dead   bool
-	// alone says that it hears no other node, and none hears it.
-	alone bool
+	// isolated says that it hears no other node, and none hears it.
+	isolated bool
 }
 
 // sim is a hall in virtual time.
@@ -91,11 +91,11 @@
 		s.calls++
 		n.asking, n.next = true, now+tick
 		if n.hall.Failing() {
-			s.tell(n, true)
+			s.notify(n, true)
 		}
 		switch {
-		case s.treat(i) == silent:
-			n.next = now + giveUp
+		case s.treat(i) == unresponsive:
+			n.next = now + callTimeout
 		case s.treat(i) == answers && q.Age < follow:
 			n.next = now + follow
 		}
@@ -105,18 +105,18 @@
 	if s.treat(i) == answers {
 		n.hall.QuerySucceeded()
 		n.confirmed, n.next = now, now
-		s.tell(n, false)
+		s.notify(n, false)
 		return
 	}
 	n.hall.QueryFailed()
 	n.next = now + check
-	s.tell(n, true)
+	s.notify(n, true)
 }
 
-// tell has the others hear of how the store treats the node, and how old its word is.
-func (s *sim) tell(from *simNode, deaf bool) {
+// notify has the others hear of how the store treats the node, and how old its word is.
+func (s *sim) notify(from *simNode, deaf bool) {
 	for _, n := range s.nodes {
-		if n != from && !n.dead && !n.alone && !from.alone {
+		if n != from && !n.dead && !n.isolated && !from.isolated {
 			n.hall.Heard(from.self, deaf)
 			n.confirmed = max(n.confirmed, from.confirmed)
 		}
@@ -138,11 +138,11 @@
 		how   treatment
 		most  int // calls
 	}{
-		{"few, turned away", 4, turns, 40},
-		{"few, silent", 4, silent, 30},
-		{"58, turned away", 58, turns, 100},
-		{"58, silent", 58, silent, 160},
-		{"200, turned away", 200, turns, 110},
+		{"few, turned away", 4, rejects, 40},
+		{"few, silent", 4, unresponsive, 30},
+		{"58, turned away", 58, rejects, 100},
+		{"58, silent", 58, unresponsive, 160},
+		{"200, turned away", 200, rejects, 110},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -167,7 +167,7 @@
 // nodes must have its word all the time.
 func TestSearchFindsOneThatTheStoreAnswers(t *testing.T) {
 	t.Parallel()
-	for _, how := range []treatment{turns, silent} {
+	for _, how := range []treatment{rejects, unresponsive} {
 		is := is.New(t)
 		s := newSim(58)
 		s.run(5 * clock.Second)
@@ -203,8 +203,8 @@
 	is.True(worst < 1900)
 }
 
-// TestLonelyNodeAsksAtOnce has a node hear nobody: it must ask within the platform's bound.
-func TestLonelyNodeAsksAtOnce(t *testing.T) {
+// TestIsolatedNodeQueriesAtOnce has a node hear nobody: it must ask within the platform's bound.
+func TestIsolatedNodeQueriesAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSim(58)
 	s.run(5 * clock.Second)
@@ -220,7 +220,7 @@
 func TestNodesCutFromTheirHallAskOnceTheStoreIsBack(t *testing.T) {
 	t.Parallel()
 	const bound = 2 * clock.Second
-	for _, how := range []treatment{turns, silent} {
+	for _, how := range []treatment{rejects, unresponsive} {
 		for _, size := range []int{1, 3, 12, 58} {
 			for _, away := range []clock.Millis{1 * clock.Second, 4 * clock.Second, 10 * clock.Second} {
 				for range 5 {
@@ -230,7 +230,7 @@
 					s.treat = func(int) treatment { return how }
 					s.run(away)
 					for _, n := range s.nodes {
-						n.alone = true
+						n.isolated = true
 					}
 					s.treat = func(int) treatment { return answers }
 					back := s.clock.Now()
