--- a/member/member.go
+++ b/member/member.go
@@ -1,5 +1,6 @@
-// Package member keeps the list of live nodes: each node probes one other at a time, asks some
-// to probe for it when no answer comes, and passes news on with its probes. It does no I/O.
+// Package member implements gossip-based membership and failure detection. Each node probes one other node at a
+// time, asks a few others to probe it when no ack arrives, and piggybacks membership updates on these messages.
+// The package does no I/O.
 package member
 
 import (
@@ -9,14 +10,14 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// An entry is what is known of one other node.
+// An entry holds what this node knows of one other node.
 type entry struct {
 	member *tlv1.Member
-	// suspectAt is when this node first held it suspect.
+	// suspectAt is when this node first considered it suspect.
 	suspectAt int64
-	// notified says that the suspect was told.
+	// notified is set once the suspect was pinged a second time.
 	notified bool
-	// goneAt is when this node first held it gone.
+	// goneAt is when this node first considered it gone.
 	goneAt int64
 }
 
@@ -32,7 +33,7 @@
 	return 0
 }
 
-// lifeOf orders the processes of one node.
+// lifeOf returns the number that orders the processes of one node.
 func lifeOf(m *tlv1.Member) uint64 {
 	if m.GetLife() > 0 {
 		return m.GetLife()
@@ -40,8 +41,8 @@
 	return m.GetIncarnation()
 }
 
-// newer says whether a tells more recent things of a node than b does. A later process wins,
-// then the process's own later word, then the worse news.
+// newer reports whether a supersedes b, two records of one node. A later process wins, then the higher rumor
+// number of the same process, then the worse state.
 func newer(a, b *tlv1.Member) bool {
 	switch {
 	case lifeOf(a) != lifeOf(b):
@@ -58,7 +59,7 @@
 	return m.GetState() == tlv1.NodeState_NODE_STATE_ALIVE || m.GetState() == tlv1.NodeState_NODE_STATE_SUSPECT
 }
 
-// ProcessOf returns the process that m tells of.
+// ProcessOf returns the process that m describes.
 func ProcessOf(m *tlv1.Member) ident.Process {
 	return ident.Process{
 		Node:        ident.Node(m.GetNode()),
@@ -66,7 +67,7 @@
 	}
 }
 
-// broadcasts holds what is still to be passed on, with how often.
+// broadcasts holds the nodes whose records are still to be sent, with the number of transmissions that remain.
 type broadcasts struct {
 	remaining map[string]int
 }
@@ -79,13 +80,14 @@
 	n.remaining[node] = times
 }
 
-// raise is add for news that may be passed on oftener already.
+// raise is like set, but never lowers the remaining transmissions.
 func (n *broadcasts) raise(node string, times int) {
 	n.remaining[node] = max(n.remaining[node], times)
 }
 
-// next returns up to limit nodes to tell of, those told least first, and counts them as told. It is asked for each message,
-// with up to a word of each node of the fleet: the few that come first are picked out, and the others not sorted.
+// next returns up to limit nodes, those with the most remaining transmissions first, and counts one transmission
+// for each. It runs for every message, and the queue may hold every node of the fleet, so it selects the first few
+// without sorting the rest.
 func (n *broadcasts) next(limit int) []string {
 	nodes := make([]string, 0, limit+1)
 	for node, left := range n.remaining {
@@ -108,7 +110,7 @@
 	return nodes
 }
 
-// less says whether a node of which so much is left to tell comes less another one.
+// less reports whether a node with the given remaining transmissions sorts before other.
 func (n *broadcasts) less(node string, left int, other string) bool {
 	if d := left - n.remaining[other]; d != 0 {
 		return d > 0
