--- a/member/index.go
+++ b/member/index.go
@@ -7,25 +7,27 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// An index follows the entries as they change: news comes many times a second, and a large fleet has a thousand of them.
+// An index holds views of the entries that are updated incrementally: updates arrive many times a second, and a
+// large fleet has a thousand entries.
 type index struct {
-	// live are the names of the live nodes, in order, and members what is known of each.
+	// live holds the names of the live nodes in order, and members their records.
 	live    []string
 	members []*tlv1.Member
-	// shared says that members was handed out, and is copied before it changes.
+	// shared is set once members was handed out: it is then copied before the next change.
 	shared bool
-	// owners are the live nodes by where they hear gossip.
+	// owners maps gossip addresses to the live nodes that use them.
 	owners map[string]owner
-	// unclaimed are the addresses of seeds and of gone nodes that no live node has; nil if not worked out since a change.
+	// unclaimed holds the addresses of seeds and gone nodes that no live node uses. It is nil until computed after
+	// a change.
 	unclaimed []string
 }
 
-// A owner is who hears gossip at an address.
+// An owner is the live node that uses a gossip address.
 type owner struct {
 	node, hall string
 }
 
-// update takes in what is known of a node now, in place of what was; nil stands for nothing.
+// update replaces the old record of a node by cur; nil stands for no record.
 func (x *index) update(node string, old, cur *tlv1.Member) {
 	if x.shared {
 		x.members, x.shared = slices.Clone(x.members), false
@@ -43,7 +45,7 @@
 	x.updateOwner(node, old, cur, nowLive)
 }
 
-// updateOwner follows where the node hears gossip.
+// updateOwner records the gossip address that the node uses.
 func (x *index) updateOwner(node string, old, cur *tlv1.Member, nowLive bool) {
 	if x.owners == nil {
 		x.owners = map[string]owner{}
@@ -60,7 +62,7 @@
 	}
 }
 
-// unclaimedAddresses returns the addresses of seeds and of gone nodes that no live node has.
+// unclaimedAddresses returns the addresses of seeds and gone nodes that no live node uses.
 func (t *Table) unclaimedAddresses() []string {
 	x := &t.index
 	if x.unclaimed != nil {
@@ -83,7 +85,7 @@
 	return x.unclaimed
 }
 
-// randomLive returns up to n live nodes by chance.
+// randomLive returns up to n random live nodes other than exclude.
 func (t *Table) randomLive(n int, exclude string) []string {
 	names := t.index.live
 	n = min(n, len(names))
@@ -102,10 +104,10 @@
 	return chosen
 }
 
-// minSampleRatio is how many times as many names there must be for a sample to be drawn one by one.
+// minSampleRatio is the least ratio of names to the sample size at which names are drawn one by one.
 const minSampleRatio = 4
 
-// sample draws n of many more names.
+// sample draws n distinct names, where n is much smaller than the number of names.
 func (t *Table) sample(names []string, n int, exclude string) (chosen []string) {
 	for len(chosen) < n {
 		name := names[t.rand.IntN(len(names))]
--- a/member/index_test.go
+++ b/member/index_test.go
@@ -11,8 +11,8 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// TestIndexFollowsTheEntries takes in news by chance: nodes that come, move to other addresses and halls, leave, are given up
-// and come back. After each the live nodes, and the hall at each address, are those of all that is known.
+// TestIndexFollowsTheEntries applies random updates: nodes join, change address and hall, leave, are given up and
+// return. After each update the live nodes and the hall at each address must match the table's entries.
 func TestIndexFollowsTheEntries(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -40,7 +40,7 @@
 		}
 		before := fmt.Sprint(handedOut)
 		live := table.Live()
-		is.Equal(before, fmt.Sprint(handedOut)) // what was handed out stays as it was
+		is.Equal(before, fmt.Sprint(handedOut)) // a returned list never changes
 		var got []string
 		for _, m := range live {
 			got = append(got, m.GetNode())
