--- a/member/probe.go
+++ b/member/probe.go
@@ -22,7 +22,7 @@
 	at      clock.Millis
 }
 
-// Tick moves the table on and returns what to send. Call it about ten times a second.
+// Tick advances the table to the current time and returns the messages to send. Call it about ten times a second.
 func (t *Table) Tick() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,7 +41,8 @@
 	return sends
 }
 
-// resume forgets what a stopped process could not have heard the answers to.
+// resume drops the probes whose acks a paused process cannot have received, and restarts the time-outs of
+// suspects.
 func (t *Table) resume(now clock.Millis) {
 	clear(t.probes)
 	clear(t.relays)
@@ -84,7 +85,7 @@
 	return sends
 }
 
-// suspect holds a node suspect that nobody got an answer from, and tells it so at once.
+// suspect marks a node that acknowledged no probe as suspect and pings it at once, so that it can refute.
 func (t *Table) suspect(node string, now clock.Millis) []Message {
 	t.healthScore = min(t.healthScore+1, maxHealthScore)
 	e := t.entries[node]
@@ -97,7 +98,8 @@
 	return []Message{t.pingSuspect(t.entries[node], now)}
 }
 
-// checkSuspects asks each suspect once more half-way, and gives up those that stay silent.
+// checkSuspects pings each suspect again half-way through its time-out, marks those that time out as gone, and
+// removes entries that have been gone for goneRetention.
 func (t *Table) checkSuspects(now clock.Millis) []Message {
 	var sends []Message
 	for _, name := range slices.Sorted(maps.Keys(t.notAlive)) {
@@ -123,7 +125,7 @@
 	return sends
 }
 
-// pingSuspect returns a ping that tells a suspect what it is held for, so that it can say otherwise.
+// pingSuspect returns a ping that carries the suspect's own record, so that it can refute it.
 func (t *Table) pingSuspect(e *entry, now clock.Millis) Message {
 	s := t.ping(e.member.GetNode(), e.member.GetGossipAddress(), now)
 	s.Gossip.Members = append(s.Gossip.Members, e.member)
@@ -136,7 +138,7 @@
 	t.apply(m, now)
 }
 
-// probeNext probes the next live node, and now and then an address where nobody is known.
+// probeNext probes the next live node and, at intervals, an unclaimed address.
 func (t *Table) probeNext(now clock.Millis) []Message {
 	var sends []Message
 	if name := t.nextLive(); name != "" {
@@ -153,7 +155,7 @@
 	return sends
 }
 
-// Join returns a ping for each seed that no live node is known at, for a node that knows nobody yet.
+// Join returns a ping to each unclaimed address, for a node that knows no others yet.
 func (t *Table) Join() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,11 +173,11 @@
 	return t.message(tlv1.GossipKind_GOSSIP_KIND_PING, t.seq, address)
 }
 
-// crossHallEvery is one in how many probes that may go to another hall. Bytes between halls cost more than
-// those within one, and a node's own hall finds its end as well.
+// crossHallEvery is the interval, in probes, at which a probe may go to another hall. Traffic between halls costs
+// more than within one, and the nodes of its own hall detect a failed node as well.
 const crossHallEvery = 4
 
-// nextLive goes through the live nodes in a shuffled round, more often through those of this hall.
+// nextLive returns the next live node of a shuffled round, more often one of this hall.
 func (t *Table) nextLive() string {
 	t.probeCount++
 	if t.probeCount%crossHallEvery != 0 {
@@ -186,13 +188,12 @@
 	return t.nextOf(&t.probeOrder, func(*entry) bool { return true })
 }
 
-// inHall says whether a node is in this one's hall.
+// inHall reports whether e is in this node's hall.
 func (t *Table) inHall(e *entry) bool {
 	return e.member.GetHall() == t.self.GetHall()
 }
 
-// nextOf returns the next of the live nodes that keep wants, from an order that is drawn anew when it
-// is used up.
+// nextOf returns the next live node that keep accepts, and reshuffles order when it is used up.
 func (t *Table) nextOf(order *[]string, keep func(e *entry) bool) string {
 	for range 2 {
 		for len(*order) > 0 {
