--- a/member/table.go
+++ b/member/table.go
@@ -13,38 +13,39 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of one datagram and of one probe.
+// Limits of one message and of one probe.
 const (
 	updatesPerMessage = 8
 	relayCount        = 3
-	// leaveFanout is how many others hear of a planned stop at once: all of a small fleet.
+	// leaveFanout is how many others are told of a planned stop at once: all of a small fleet.
 	leaveFanout = 48
-	// maxHealthScore bounds how far a node that misses answers stretches its own time-outs.
+	// maxHealthScore bounds healthScore, by which a node that misses acks lengthens its own time-outs; 0 is healthy.
 	maxHealthScore = 4
-	// bulkMergeThreshold is how much news at once is taken for a node's own ignorance.
+	// bulkMergeThreshold is the number of new records in one merge above which this node was out of date itself,
+	// and broadcasts none of them.
 	bulkMergeThreshold = 16
-	// pauseThreshold is a gap between ticks that means that this process was stopped.
+	// pauseThreshold is the gap between ticks from which this process counts as having been paused.
 	pauseThreshold = 1 * clock.Second
-	// goneRetention is how long a gone node is remembered, and now and then probed again.
+	// goneRetention is how long a gone node is kept, and probed from time to time.
 	goneRetention = 10 * clock.Minute
-	// unclaimedProbeInterval is how often an address is probed that no live node is known at.
+	// unclaimedProbeInterval is how often an unclaimed address is probed.
 	unclaimedProbeInterval = 5 * clock.Second
 )
 
-// Timing sets the pace of probes.
+// Timing holds the intervals and time-outs of failure detection.
 type Timing struct {
 	ProbeInterval clock.Millis
-	// RelayAfter is when others are asked to probe too.
+	// RelayAfter is how long after a probe others are asked to probe too.
 	RelayAfter clock.Millis
-	// SuspectAfter is when a node without answer is held suspect.
+	// SuspectAfter is how long after a probe a node without an ack becomes suspect.
 	SuspectAfter clock.Millis
-	// GoneAfter is how long a suspect has to say otherwise.
+	// GoneAfter is how long a suspect has to refute.
 	GoneAfter clock.Millis
-	// IsolatedAfter is how long without any answer makes this node isolated.
+	// IsolatedAfter is how long without any ack this node counts as isolated.
 	IsolatedAfter clock.Millis
 }
 
-// DefaultTiming finds a dead node in about five seconds.
+// DefaultTiming detects a dead node in about five seconds.
 var DefaultTiming = Timing{
 	ProbeInterval: 500,
 	RelayAfter:    250,
@@ -53,13 +54,13 @@
 	IsolatedAfter: 3000,
 }
 
-// A Message struct is a message to be sent.
+// A Message struct is a gossip message and the address to send it to.
 type Message struct {
 	Address string
 	Gossip  *tlv1.Gossip
 }
 
-// A Table struct is one node's list of members. It is safe for concurrent use.
+// A Table struct is one node's membership list. It is safe for concurrent use.
 type Table struct {
 	clock  clock.Clock
 	timing Timing
@@ -68,11 +69,11 @@
 	mu      sync.Mutex
 	self    *tlv1.Member
 	entries map[string]*entry
-	// notAlive names the entries that are suspect or gone.
+	// notAlive holds the names of entries that are suspect or gone.
 	notAlive   map[string]bool
 	index      index
 	probeOrder []string
-	// hallOrder is of the nodes of this hall.
+	// probeOrder and hallOrder hold the rest of the current probe rounds, over all nodes and over this hall's.
 	hallOrder          []string
 	probeCount         uint64
 	seeds              []string
@@ -87,7 +88,7 @@
 	lastAck            clock.Millis
 	superseded         bool
 	version            uint64
-	// startedAt is when this process began.
+	// startedAt is when this process started.
 	startedAt clock.Millis
 }
 
@@ -112,7 +113,7 @@
 	}
 }
 
-// AddSeeds adds addresses where nodes may live, for good.
+// AddSeeds adds addresses at which nodes may run. They are never removed.
 func (t *Table) AddSeeds(addresses []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,14 +121,15 @@
 	t.index.unclaimed = nil
 }
 
-// Self returns what the node says of itself.
+// Self returns the node's own record.
 func (t *Table) Self() *tlv1.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return proto.CloneOf(t.self)
 }
 
-// Live returns the other nodes that are not held gone, by name. The caller must change neither them nor the list.
+// Live returns the other nodes that are alive or suspect, sorted by name. The caller must change neither the
+// records nor the list.
 func (t *Table) Live() []*tlv1.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +137,7 @@
 	return t.index.members
 }
 
-// Get returns the live node of the name, or nil. The caller must not change it.
+// Get returns the live node of that name, or nil. The caller must not change it.
 func (t *Table) Get(node ident.Node) *tlv1.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// All returns everything known, the node itself first. The caller must not change it.
+// All returns all records, the node's own first. The caller must not change them.
 func (t *Table) All() []*tlv1.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,7 +158,7 @@
 	return list
 }
 
-// HallAt returns the hall of the live node that hears gossip at the address.
+// HallAt returns the hall of the live node that uses the gossip address.
 func (t *Table) HallAt(address string) (hall string, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,14 +166,14 @@
 	return h.hall, known
 }
 
-// Version is raised with every change to who is live or leaving.
+// Version increases with every change that affects routing.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Isolated says that the node knows of others, and none has answered it for too long.
+// Isolated reports whether other nodes are known and none has acknowledged a probe within IsolatedAfter.
 func (t *Table) Isolated() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,15 +184,15 @@
 	return len(t.entries) > 0 && t.clock.Now()-t.lastAck > t.timing.IsolatedAfter
 }
 
-// Superseded says that a later process of the same node has been heard of.
+// Superseded reports whether a later process of the same node is known.
 func (t *Table) Superseded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.superseded
 }
 
-// AnnounceLeaving says that the node is leaving, and returns the word to others that carries the news at once: a node
-// that hears of it by a probe only would send it callers for up to a second more.
+// AnnounceLeaving marks the node as leaving and returns messages that tell the others at once: nodes that learned
+// it from a probe only would send it callers for up to a second more.
 func (t *Table) AnnounceLeaving() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,7 +201,7 @@
 	return t.broadcast(leaveFanout)
 }
 
-// AnnounceGone returns the node's last word to the others: that it is gone.
+// AnnounceGone marks the node as gone and returns messages that tell the others.
 func (t *Table) AnnounceGone() []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -208,7 +210,7 @@
 	return t.broadcast(2 * relayCount)
 }
 
-// broadcast returns the news to so many others.
+// broadcast returns messages with pending updates to up to count random nodes.
 func (t *Table) broadcast(count int) []Message {
 	var sends []Message
 	for _, name := range t.randomLive(count, "") {
@@ -223,13 +225,14 @@
 	t.broadcasts.set(t.self.GetNode(), t.retransmits())
 }
 
-// retransmits is how often news is passed on: enough to reach all with near certainty. Each node that hears it passes it
-// on as often; of 300, one in 10^8 or so misses what is passed on 20 times by all others.
+// retransmits is how often an update is sent, enough to reach all nodes with near certainty. Each node that
+// receives it sends it as often; of 300 nodes, about one in 10^8 misses an update that all others send 20 times.
 func (t *Table) retransmits() int {
 	return 2 * (bits.Len(uint(len(t.entries)+1)) + 1)
 }
 
-// loadRetransmits is how often it is passed on how busy a node is: there is a newer word soon.
+// loadRetransmits is how often a change of load is sent. It is less than retransmits, since a newer value follows
+// soon.
 func (t *Table) loadRetransmits() int {
 	return bits.Len(uint(len(t.entries) + 1))
 }
@@ -244,7 +247,7 @@
 	return Message{Address: address, Gossip: g}
 }
 
-// Receive takes a message in and returns what to send.
+// Receive applies a message and returns the messages to send in reply.
 func (t *Table) Receive(g *tlv1.Gossip) []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -268,8 +271,7 @@
 	return nil
 }
 
-// ack returns the ack of a ping. It tells the sender what is held of it, if that is bad, or of
-// another process.
+// ack returns the ack of a ping. It carries the sender's own record if that is not alive or is of another process.
 func (t *Table) ack(g *tlv1.Gossip) Message {
 	s := t.message(tlv1.GossipKind_GOSSIP_KIND_ACK, g.GetSeq(), g.GetFrom().GetGossipAddress())
 	e := t.entries[g.GetFrom().GetNode()]
@@ -302,8 +304,8 @@
 	return nil
 }
 
-// Merge takes in what another node knows. A little of it may be news to others as well; much of
-// it means that this node is the one that knew too little.
+// Merge applies the records of another node and broadcasts those that are new. Many new records at once mean that
+// this node was out of date, and are not broadcast.
 func (t *Table) Merge(members []*tlv1.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -322,7 +324,7 @@
 	}
 }
 
-// apply takes in news of one node, and passes it on if it was new, which it returns.
+// apply applies a record and, if it supersedes the known one, broadcasts it and returns true.
 func (t *Table) apply(m *tlv1.Member, now clock.Millis) bool {
 	if m.GetNode() == t.self.GetNode() {
 		t.applySelf(m)
@@ -362,15 +364,15 @@
 	return true
 }
 
-// affectsRouting says whether work may go elsewhere by the news b of a node of which a was known. How busy it is changes
-// often, and is looked at now and then.
+// affectsRouting reports whether replacing a by b may change where requests go. The load is left out: it changes
+// often, and is read at intervals.
 func affectsRouting(a, b *tlv1.Member) bool {
 	return lifeOf(a) != lifeOf(b) || a.GetIncarnation() != b.GetIncarnation() || a.GetState() != b.GetState() ||
 		a.GetLeaving() != b.GetLeaving() || a.GetWeight() != b.GetWeight() || a.GetHall() != b.GetHall() ||
 		a.GetGossipAddress() != b.GetGossipAddress() || a.GetPeerAddress() != b.GetPeerAddress() || a.GetCallerAddress() != b.GetCallerAddress()
 }
 
-// SetBusy tells the others about how many requests this process has in flight.
+// SetBusy broadcasts the approximate number of requests that this process has in flight.
 func (t *Table) SetBusy(requests uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -382,8 +384,8 @@
 	t.broadcasts.raise(t.self.GetNode(), t.loadRetransmits())
 }
 
-// applySelf answers bad news of this process, outlives an earlier process in this place, and notes a
-// later one.
+// applySelf handles a record of this node: it refutes a suspicion, takes over from an earlier process at this
+// address, and notes a later process.
 func (t *Table) applySelf(m *tlv1.Member) {
 	switch {
 	case m.GetIncarnation() != t.self.GetIncarnation():
@@ -391,20 +393,20 @@
 	case m.GetState() == tlv1.NodeState_NODE_STATE_ALIVE || m.GetRumor() < t.self.GetRumor():
 		return
 	case t.isolated():
-		return // it is true that nobody can reach us
+		return // nobody can reach this node, so the suspicion is right
 	case t.self.GetState() == tlv1.NodeState_NODE_STATE_ALIVE:
 		t.self.Rumor = m.GetRumor()
 		t.publishSelf()
 	}
 }
 
-// takeoverWindow is how long after its start a process takes one that seems to be later than itself for
-// an earlier one, of the time before the VM's clock went back. It is longer than news of the
-// earlier one takes to come.
+// takeoverWindow is how long after its start a process treats an apparently later process at its own address as an
+// earlier one, started before the VM's clock was set back. It is longer than updates about the earlier process
+// take to arrive.
 const takeoverWindow = 5 * clock.Second
 
-// applyOtherProcess takes in news of another process of this node. One that had this process's address has
-// ended, since this one listens there.
+// applyOtherProcess handles a record of another process of this node. One with this process's gossip address has
+// ended, since this process listens there.
 func (t *Table) applyOtherProcess(m *tlv1.Member) {
 	switch {
 	case lifeOf(m) < lifeOf(t.self):
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// run moves all on by d; messages take up to one step.
+// run advances time by d; messages take up to one step.
 func (w *net) run(d clock.Millis) {
 	for range d / step {
 		w.clock.Advance(step)
@@ -83,7 +83,7 @@
 	}
 }
 
-// seenBy counts the running nodes that hold the name live.
+// seenBy counts the running nodes that list the name as live.
 func (w *net) seenBy(name string) int {
 	n := 0
 	for _, other := range w.order {
@@ -147,8 +147,8 @@
 	is.True(old.Superseded())
 }
 
-// TestRestartAfterTheClockWentBack restarts a node with a lower incarnation than before. The new
-// process takes the place of the old one all the same.
+// TestRestartAfterTheClockWentBack restarts a node with a lower incarnation than before. The new process must
+// still replace the old one.
 func TestRestartAfterTheClockWentBack(t *testing.T) {
 	for _, down := range []clock.Millis{200, 3 * clock.Second, 20 * clock.Second} {
 		t.Run(fmt.Sprint(down), func(t *testing.T) {
@@ -158,7 +158,7 @@
 			w.run(20 * clock.Second)
 			w.tables["n05"] = nil
 			w.run(down)
-			w.start("n05", 3000) // two seconds earlier, by its own clock
+			w.start("n05", 3000) // two seconds earlier by its own clock
 			w.run(5 * clock.Second)
 			is.True(!w.tables["n05"].Superseded())
 			is.Equal(w.seenBy("n05"), 19)
@@ -195,9 +195,9 @@
 	}
 	w.run(10 * clock.Second)
 	is.True(w.tables["n04"].Isolated())
-	is.Equal(w.seenBy("n04"), 0) // it cannot be asked to serve, so nobody counts on it
+	is.Equal(w.seenBy("n04"), 0) // unreachable, so no node may list it as live
 	is.True(!w.tables["n05"].Isolated())
-	for range 5 { // it hears over connections of its own what is said of it, and must not deny it
+	for range 5 { // it learns of the suspicion over its own connections, and must not refute it
 		w.tables["n04"].Merge(w.tables["n00"].All())
 		w.run(2 * clock.Second)
 		is.Equal(w.seenBy("n04"), 0)
@@ -260,7 +260,7 @@
 	is.Equal(member.ProcessOf(&tlv1.Member{Node: "a", Incarnation: 2}), ident.Process{Node: "a", Incarnation: 2})
 }
 
-// TestLiveReturnsTheNewestRecord has a member tell how busy it is, which moves no work, and end.
+// TestLiveReturnsTheNewestRecord has a member report its load, which does not affect routing, and then leave.
 func TestLiveReturnsTheNewestRecord(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1_000_000)
@@ -272,7 +272,7 @@
 	is.Equal(len(first), 1)
 	table.Merge([]*tlv1.Member{{Node: "b", Incarnation: 1, GossipAddress: "b", State: tlv1.NodeState_NODE_STATE_ALIVE, Rumor: 1, Busy: 8}})
 	is.Equal(table.Live()[0].GetBusy(), uint32(8))
-	is.Equal(first[0].GetBusy(), uint32(0)) // who holds a list is not disturbed
+	is.Equal(first[0].GetBusy(), uint32(0)) // a returned list never changes
 	table.Merge([]*tlv1.Member{{Node: "b", Incarnation: 1, GossipAddress: "b", State: tlv1.NodeState_NODE_STATE_GONE, Rumor: 2}})
 	is.Equal(len(table.Live()), 0)
 }
