--- a/member/stateful_test.go
+++ b/member/stateful_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestMembership freezes, cuts one way, and restarts nodes in any order. The oracle is plain: a
-// node never goes back to an earlier process of another, never lists itself, and once all faults
-// are over, all know just the processes that run.
+// TestMembership freezes nodes, cuts links in one direction, and restarts nodes in any order. A node must never go
+// back to an earlier process of another node and never list itself; once all faults are over, all nodes must know
+// exactly the running processes.
 func TestMembership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNet(5, rapid.Uint64().Draw(t, "seed"))
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestDetectionTime prints how long the last of 43 others takes to hold a node gone.
+// TestDetectionTime logs how long it takes until the last of 43 others considers a node gone.
 func TestDetectionTime(t *testing.T) {
 	faults := map[string]func(w *net){
 		"dead":   func(w *net) { w.tables["n07"] = nil },
