--- a/member/bench_test.go
+++ b/member/bench_test.go
@@ -10,8 +10,9 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// BenchmarkMemberChanges has one of 986 members say that it leaves or stays, after which the members are looked at and an
-// answer is sent: what each node of a large fleet does for each piece of news. 1.1 ms where all was worked out and sorted anew, 73 us now.
+// BenchmarkMemberChanges has one of 986 members change its leaving flag, then reads the members and returns an
+// ack: the work of each node of a large fleet for each update. Rebuilding and sorting the lists on each change
+// took 1.1 ms, against 73 us.
 func BenchmarkMemberChanges(b *testing.B) {
 	const members = 986
 	of := func(i int) *tlv1.Member {
