--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -1,9 +1,9 @@
-// Package watcher decides which nodes of a hall ask the store, and when. One node follows the store and the
-// others rely on its word. Where the store turns nodes away, the hall searches for one that it answers, at a pace
-// that does not grow with the hall. It does no I/O.
+// Package watcher decides which nodes of a hall query the store. One node, the watcher, follows the store, and the
+// others rely on its confirmations. While the store fails for some nodes, the hall searches for one that it
+// answers, at a rate that does not grow with the size of the hall. The package does no I/O.
 //
-// The load that it answers: the store is away for some seconds, for all nodes or for some, and nodes that all ask
-// for themselves would add a call each every second or so, just when it can bear them least.
+// It limits the load when the store is unavailable for some seconds, for all nodes or for some: if every node
+// queried the store itself, each would add about a call a second while the store can bear it least.
 package watcher
 
 import (
@@ -18,65 +18,68 @@
 )
 
 const (
-	// StaleAfter is how old the last word of the store may be before a node asks the store itself: more than the
-	// wait of a watcher's question, and so little that a node that was just cut off from the watchers still
-	// has a change in force within the platform's 2 s.
+	// StaleAfter is the age of the last confirmation by the store from which a node queries the store itself. It
+	// exceeds the wait of a watcher's query, and is short enough that a node just cut off from the watchers still
+	// applies a change within the platform's 2 s.
 	StaleAfter clock.Millis = 1550
-	// isolatedRankDelay and maxIsolatedDelay are how much longer each node waits than the one ranked before it, and the most of
-	// it, where it hears nobody of its hall: it may be cut off, and has no time to lose.
+	// isolatedRankDelay is how much longer each node waits than the one ranked before it while it is in contact
+	// with no other node of its hall, up to maxIsolatedDelay. It may be cut off and must not lose time.
 	isolatedRankDelay, maxIsolatedDelay clock.Millis = 10, 150
-	// rankDelay and maxRankDelay are the same where it hears others: the nodes before it may have ended just now.
+	// rankDelay and maxRankDelay are the same while it is in contact with others: the nodes ranked before it may
+	// have just ended.
 	rankDelay, maxRankDelay clock.Millis = 25, 1000
-	// isolatedAfter is how long a node hears nobody until it takes itself for cut off: two words of a watcher
-	// that were lost, and some room.
+	// isolatedAfter is how long a node has no contact with others before it counts as isolated: two lost
+	// confirmations of a watcher, and some margin.
 	isolatedAfter clock.Millis = 900
-	// searchInterval is the pause between two nodes that try one after the other, while the store turns nodes away.
+	// searchInterval is the pause between the queries of two nodes in turn while the store fails for nodes of the
+	// hall.
 	searchInterval clock.Millis = 100
-	// failingTTL is how long a node that was turned away is passed over.
+	// failingTTL is how long after a failure a node counts as failing and is ranked last.
 	failingTTL = 3 * clock.Second
-	// minBackoff and pauseMost bound the pause of a node after questions that failed, by their number; pausePerDeaf has
-	// a hall of any size make four calls a second, and pauseLongest bounds that.
+	// minBackoff and maxBackoff bound a node's exponential backoff after failed queries. backoffPerFailing limits
+	// a hall of any size to four calls a second, and maxHallBackoff bounds the backoff that it gives.
 	minBackoff        clock.Millis = 150
 	maxBackoff                     = 1 * clock.Second
 	backoffPerFailing clock.Millis = 250
 	maxHallBackoff                 = 6 * clock.Second
-	// minJitter and maxJitter are by how much chance shortens or lengthens a pause: of many nodes that were turned away
-	// at the same moment some ask soon, and the others hear of it.
+	// minJitter and maxJitter bound the random factor of a backoff: of many nodes that fail at the same moment
+	// some query soon, and the others learn the result.
 	minJitter, maxJitter = 0.1, 1.9
-	// exclusiveFor is how long a question of a node that was turned away keeps its others back. One that the store
-	// leaves without an answer, or answers at length, holds them up no longer.
+	// exclusiveFor is how long a query of a failing node holds back its other queries. One that gets no answer, or
+	// a long one, holds them back no longer.
 	exclusiveFor clock.Millis = 300
-	// watchDuty names the duty to watch the store.
+	// watchDuty is the name of the watcher's duty in package assign.
 	watchDuty = "watch"
-	// equalWeight gives all candidates the same chance.
+	// equalWeight gives all candidates the same weight.
 	equalWeight = 100
 )
 
-// A Hall struct is what a node knows of the nodes of its hall as watchers, itself too. It is safe for concurrent use.
+// A Hall struct holds what a node knows of its hall's nodes, itself included, as candidates for watching. It is
+// safe for concurrent use.
 type Hall struct {
 	clock clock.Clock
 	self  ident.Process
 
 	mu sync.Mutex
-	// failing is when nodes were last known to be turned away.
+	// failing holds when each failing node was last known to fail.
 	failing map[ident.Process]clock.Millis
-	// lastFailing is the newest of those, and heardAt when any other node was heard.
+	// lastFailing is the newest of these times, and heardAt when any other node was last heard.
 	lastFailing, heardAt clock.Millis
 	// succeededAt is when the store last answered this node.
 	succeededAt clock.Millis
-	// backoff is the one after the last question that failed, by the number of them, and spread what chance makes of it.
+	// backoff grows with the number of failed queries, and jitter is its random factor.
 	backoff clock.Millis
 	jitter  float64
-	// failedAt is when a question last failed, and queriedAt when one last went out while the store turned this node away.
+	// failedAt is when a query last failed, and queriedAt when one was last sent while this node was failing.
 	failedAt, queriedAt clock.Millis
 }
 
-// New returns a hall of which only the node itself is known.
+// New returns a hall that knows only the node itself.
 func New(c clock.Clock, self ident.Process) *Hall {
 	return &Hall{clock: c, self: self, failing: map[ident.Process]clock.Millis{}}
 }
 
-// Heard takes in the word of another node of the hall, which says whether the store turns it away.
+// Heard records a message from another node of the hall, which says whether the store fails for it.
 func (h *Hall) Heard(p ident.Process, deaf bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,14 +92,14 @@
 	}
 }
 
-// HeardWithin says whether another node of the hall was heard so shortly ago.
+// HeardWithin reports whether another node of the hall was heard within span.
 func (h *Hall) HeardWithin(span clock.Millis) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.heardAt > 0 && h.clock.Now()-h.heardAt < span
 }
 
-// QuerySucceeded notes that the store answered this node, and says whether it had turned it away before.
+// QuerySucceeded records that the store answered this node, and reports whether the node was failing before.
 func (h *Hall) QuerySucceeded() (regained bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,23 +109,23 @@
 	return regained
 }
 
-// QueryFailed notes that the store did not answer this node. It returns how long this node waits until its next question,
-// as its hall is now, and whether the question before it was answered.
+// QueryFailed records that the store did not answer this node. It returns the backoff until this node's next query
+// as its hall is now, and whether the node was not failing before.
 func (h *Hall) QueryFailed() (pause clock.Millis, first bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	_, again := h.failing[h.self]
 	h.failing[h.self], h.lastFailing = now, now
-	if now-h.failedAt >= h.backoff/2 { // questions that fail together count once
+	if now-h.failedAt >= h.backoff/2 { // concurrent failures count once
 		h.backoff = min(max(2*h.backoff, minBackoff), maxBackoff)
 	}
 	h.failedAt, h.jitter = now, minJitter+rand.Float64()*(maxJitter-minJitter)
 	return h.delay(now), !again
 }
 
-// delay is how long this node waits after a question that failed. A hall of many waits the longer, since the first that is
-// answered tells the others; a node that hears none of them cannot rely on that.
+// delay is this node's backoff after a failed query. It grows with the number of failing nodes in the hall, since
+// the first node that succeeds tells the others; an isolated node cannot rely on that.
 func (h *Hall) delay(now clock.Millis) clock.Millis {
 	pause := h.backoff
 	if now-h.heardAt < isolatedAfter {
@@ -131,9 +134,9 @@
 	return clock.Millis(h.jitter * float64(pause))
 }
 
-// AllowQuery says whether a question may go out now, and counts it. A node that was turned away asks again after a pause, and
-// one question at a time: as soon as one is answered, all may go out. It tells the others that it asks: while they hear of
-// that, they wait longer.
+// AllowQuery reports whether a query may be sent now, and records it. A failing node sends one query at a time,
+// each after a backoff; once one succeeds, all may be sent. The caller must tell the other nodes of the query:
+// they wait longer while they hear of it.
 func (h *Hall) AllowQuery() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +151,7 @@
 	return true
 }
 
-// Failing says whether the store turned this node away when it last asked.
+// Failing reports whether this node's last query failed.
 func (h *Hall) Failing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,14 +159,14 @@
 	return deaf
 }
 
-// Healthy says whether the store turned no node of the hall away of late: places go by the nodes' weights alone then.
+// Healthy reports whether no node of the hall failed recently: nodes are then ranked by their weights alone.
 func (h *Hall) Healthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.countFailing(h.clock.Now()) == 0
 }
 
-// countFailing counts the nodes that were turned away of late.
+// countFailing counts the nodes that failed recently.
 func (h *Hall) countFailing(now clock.Millis) (n int) {
 	for _, at := range h.failing {
 		if now-at < failingTTL {
@@ -173,9 +176,9 @@
 	return n
 }
 
-// Rank returns this node's place in the order in which the hall's nodes watch, from 0, given what each can
-// carry. Those that can carry the most come first, since a watcher reads each state whole and hands it on;
-// those that were turned away of late come last.
+// Rank returns this node's place, from 0, in the order in which the hall's nodes watch, given their weights. Nodes
+// of high capacity come first, since a watcher reads each state in full and passes it on; nodes that failed
+// recently come last.
 func (h *Hall) Rank(weights map[ident.Process]uint32) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -192,7 +195,7 @@
 	return rank(eligible, h.self.Node)
 }
 
-// rank returns a node's place: first come those that carry at least half of the most.
+// rank returns a node's place. Nodes with at least half of the greatest weight come first.
 func rank(weights map[ident.Node]uint32, self ident.Node) int {
 	heaviest := slices.Max(slices.Collect(maps.Values(weights)))
 	strong := func(n ident.Node) bool { return 2*weights[n] >= heaviest }
@@ -209,8 +212,7 @@
 	return before + assign.Duty(watchDuty, equals, self)
 }
 
-// First returns the node of a hall that watches it, as far as its nodes are known to have the weights; "" if there
-// is none.
+// First returns the node that watches a hall whose nodes have the weights, or "" if there are none.
 func First(weights map[ident.Node]uint32) ident.Node {
 	if len(weights) == 0 {
 		return ""
@@ -225,18 +227,17 @@
 	return assign.First(watchDuty, strong)
 }
 
-// A Query struct is what a node might ask the store.
+// A Query struct describes a query that a node might send to the store.
 type Query struct {
-	// Age is how long ago the store was last known to hold nothing newer.
+	// Age is how long ago the store last confirmed that it holds nothing newer.
 	Age clock.Millis
 	// Rank is the node's place among the hall's watchers.
 	Rank int
-	// Primary says that this question goes first: while the store turns nodes away, others follow only once it was
-	// answered.
+	// Primary marks the query that is sent first: while the store fails, others follow only once it succeeded.
 	Primary bool
 }
 
-// Due says whether the node should ask now.
+// Due reports whether the node should send the query now.
 func (h *Hall) Due(q Query) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
