--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -10,14 +10,14 @@
 	"github.com/tinladder/tinladder/watcher"
 )
 
-// How the store treats a node's calls.
+// A treatment is how the store handles a node's calls.
 type treatment int
 
 const (
 	answers treatment = iota
-	// rejects calls away at once.
+	// rejects refuses calls at once.
 	rejects
-	// unresponsive calls are given up after giveUp.
+	// unresponsive does not answer; the node gives up after callTimeout.
 	unresponsive
 )
 
@@ -28,20 +28,20 @@
 	follow      clock.Millis = 1300
 )
 
-// simNode is one node of a hall that follows the store as the daemon does: one question at a time.
+// simNode is a node of a hall that follows the store as the daemon does, one query at a time.
 type simNode struct {
 	hall      *watcher.Hall
 	self      ident.Process
 	confirmed clock.Millis
-	// next is when the node looks again whether to ask, or its question ends.
+	// next is when the node next checks whether to query, or its query ends.
 	next   clock.Millis
 	asking bool
 	dead   bool
-	// isolated says that it hears no other node, and none hears it.
+	// isolated cuts the node off from all others.
 	isolated bool
 }
 
-// sim is a hall in virtual time.
+// sim simulates a hall in virtual time.
 type sim struct {
 	clock   *clock.Manual
 	nodes   []*simNode
@@ -63,7 +63,7 @@
 	return s
 }
 
-// run moves on, and returns the greatest age of the store's last word at any node at the end.
+// run advances time and returns the greatest age of a confirmation at any node at the end.
 func (s *sim) run(d clock.Millis) (oldest clock.Millis) {
 	for end := s.clock.Now() + d; s.clock.Now() < end; s.clock.Advance(tick) {
 		for i, n := range s.nodes {
@@ -113,7 +113,7 @@
 	s.notify(n, true)
 }
 
-// notify has the others hear of how the store treats the node, and how old its word is.
+// notify informs the other nodes whether the store fails for the node, and when it last confirmed its state.
 func (s *sim) notify(from *simNode, deaf bool) {
 	for _, n := range s.nodes {
 		if n != from && !n.dead && !n.isolated && !from.isolated {
@@ -123,12 +123,12 @@
 	}
 }
 
-// Symptom: 6,504 calls on a day on which the store turned calls away for 8 s, against some 900 on a calm one; 291
-// nodes asked for themselves, for each kind of record, every 1.5 s. Cause: each waited 0.15 s more than another at
-// most, and none relied on another's word that the store was away.
+// Guards against a flood of calls to a failing store: each node added a delay of 0.15 s at most and did not rely
+// on others' reports that the store was unavailable. 291 nodes queried for themselves, for each kind of record,
+// every 1.5 s: 6,504 calls on a day on which the store rejected calls for 8 s, against about 900 on a normal day.
 
-// TestSearchWhileTheStoreIsAway counts the calls of one hall while the store is away for 8 s, and looks how soon all
-// have its word once it is back.
+// TestSearchWhileTheStoreIsAway counts the calls of one hall while the store fails for 8 s, and checks how soon
+// all nodes have a confirmation once it answers again.
 func TestSearchWhileTheStoreIsAway(t *testing.T) {
 	t.Parallel()
 	const away = 8 * clock.Second
@@ -150,21 +150,21 @@
 			s := newSim(c.nodes)
 			is.True(s.run(5*clock.Second) < 1500) // at rest
 			atRest := s.calls
-			is.True(atRest <= 6) // one node, once in 1.3 s
+			is.True(atRest <= 6) // one node, every 1.3 s
 			s.treat = func(int) treatment { return c.how }
 			s.run(away)
-			t.Logf("%d calls while it was away", s.calls-atRest)
+			t.Logf("%d calls while the store was failing", s.calls-atRest)
 			is.True(s.calls-atRest <= c.most)
 			s.treat = func(int) treatment { return answers }
 			oldest := s.run(2500)
-			t.Logf("2.5 s after its return the oldest word is of %d ms before", oldest)
+			t.Logf("2.5 s after the recovery the oldest confirmation is %d ms old", oldest)
 			is.True(oldest < 1600)
 		})
 	}
 }
 
-// TestSearchFindsOneThatTheStoreAnswers has the store turn away all but one of five nodes, the strongest too. All
-// nodes must have its word all the time.
+// TestSearchFindsOneThatTheStoreAnswers has the store fail for four of five nodes, those with the greatest weight
+// included. All nodes must keep getting its confirmations.
 func TestSearchFindsOneThatTheStoreAnswers(t *testing.T) {
 	t.Parallel()
 	for _, how := range []treatment{rejects, unresponsive} {
@@ -182,11 +182,11 @@
 			worst = max(worst, s.run(100))
 		}
 		t.Logf("the oldest word was %d ms old", worst)
-		is.True(worst < 5500) // within what a store that turns nodes away allows: 2 s and the skew of 5
+		is.True(worst < 5500) // the bound while the store fails for nodes: 2 s, and a skew of 5 s
 	}
 }
 
-// TestWatchersThatEnd has the first half of the hall end at once, which none of the others knows yet.
+// TestWatchersThatEnd stops the nodes ranked first at once, while the others do not know of it yet.
 func TestWatchersThatEnd(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -203,7 +203,7 @@
 	is.True(worst < 1900)
 }
 
-// TestIsolatedNodeQueriesAtOnce has a node hear nobody: it must ask within the platform's bound.
+// TestIsolatedNodeQueriesAtOnce isolates a node, which must query the store within the platform's bound.
 func TestIsolatedNodeQueriesAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSim(58)
@@ -214,9 +214,10 @@
 	is.True(n.hall.Due(watcher.Query{Age: 1750, Rank: 40}))
 }
 
-// TestNodesCutFromTheirHallAskOnceTheStoreIsBack has the store away for a hall, and cuts its nodes off from each other as
-// the store comes back. Each counts as in touch 3 s after that, and holds the newest state then if it was answered within
-// 2 s, which leaves one to read it. Pauses that were drawn for the whole hall kept nodes silent for up to 8 s.
+// TestNodesCutFromTheirHallAskOnceTheStoreIsBack has the store fail for a hall, and cuts its nodes off from each
+// other as the store recovers. Each counts as in touch 3 s later and must hold the newest state by then: it needs
+// an answer within 2 s, which leaves one to read the state. Backoffs drawn for the whole hall kept nodes from
+// querying for up to 8 s.
 func TestNodesCutFromTheirHallAskOnceTheStoreIsBack(t *testing.T) {
 	t.Parallel()
 	const bound = 2 * clock.Second
@@ -236,7 +237,7 @@
 					back := s.clock.Now()
 					s.run(bound)
 					for _, n := range s.nodes {
-						is.True(n.confirmed >= back) // answered since
+						is.True(n.confirmed >= back) // confirmed since
 					}
 				}
 			}
