--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica holds a node's copy of records that are kept in a store and that all nodes
-// should have. Of each record it keeps the newest version that it has seen, whoever told of it, so
-// that news may come late, twice and in any order. It does no I/O.
+// Package replica holds a node's copy of records that a store keeps and all nodes should have. For each key it
+// keeps the record of the highest version seen from any source, so updates may arrive late, twice and in any
+// order. It does no I/O.
 package replica
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// TombstoneTTL is how long a record that is gone is kept, so that news that is older is known as such.
+// TombstoneTTL is how long a deleted record is kept, so that older updates of it are recognised as such.
 const TombstoneTTL = 5 * clock.Minute
 
-// Buckets is how many parts a set is compared by: 1 KB of sums in place of some 70 bytes for each record.
+// Buckets is the number of parts by which sets are compared: 1 KB of checksums, instead of about 70 bytes for each
+// record.
 const Buckets = 128
 
-// bucketOf returns the part that a key is in.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string) uint64 {
 	return xxhash.Sum64String(key) % Buckets
 }
@@ -27,9 +28,9 @@
 // A Record struct is one record. It is never changed.
 type Record struct {
 	Key string
-	// Version orders the records of one key. 0 says that the record is there and cannot be read.
+	// Version orders the records of one key. 0 means that the record exists and cannot be read.
 	Version uint64
-	// Deleted says that the record was removed. It has no value then.
+	// Deleted marks a tombstone, which has no value.
 	Deleted bool
 	Value   []byte
 	// ReadAt is when the record was read from the store, by this node's clock.
@@ -43,7 +44,7 @@
 	mu        sync.Mutex
 	records   map[string]Record
 	deletedAt map[string]clock.Millis
-	// sums are of the records by the hash of their keys.
+	// sums holds the checksum of each bucket.
 	sums   [Buckets]uint64
 	newest uint64
 }
@@ -53,7 +54,7 @@
 	return &Set{clock: c, records: map[string]Record{}, deletedAt: map[string]clock.Millis{}}
 }
 
-// Put takes in the records that are newer than those held, and returns them.
+// Put adds the records that are newer than those held, and returns them.
 func (s *Set) Put(list []Record) (changed []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +82,8 @@
 	return changed
 }
 
-// Replace takes in all records there are, as read at the version. Held ones that are missing are
-// gone, unless they are newer than that. It returns what is new.
+// Replace takes list as the complete set of records at the version. Held records that are missing from it become
+// tombstones, unless they are newer. It returns the records that changed.
 func (s *Set) Replace(list []Record, version uint64) (changed []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +99,7 @@
 	return s.put(list)
 }
 
-// expireTombstones drops records that have been gone for long.
+// expireTombstones removes tombstones older than TombstoneTTL.
 func (s *Set) expireTombstones() {
 	now := s.clock.Now()
 	for key, at := range s.deletedAt {
@@ -109,8 +110,8 @@
 	}
 }
 
-// checksum is a record's part in the sum. Records that are gone have none, so that forgetting them
-// changes nothing.
+// checksum is a record's part of its bucket's checksum. Tombstones have none, so that expiring them changes
+// nothing.
 func checksum(r Record) uint64 {
 	if r.Deleted || r.Version == 0 {
 		return 0
@@ -121,7 +122,7 @@
 	return x.Sum64()
 }
 
-// Sum is equal on two nodes if they hold the same records.
+// Sum returns a checksum that is equal on two nodes if they hold the same records.
 func (s *Set) Sum() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,7 @@
 	return sum
 }
 
-// State returns the sum and the highest version, as of one moment.
+// State returns the checksum and the highest version as of the same moment.
 func (s *Set) State() (sum, newest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,15 +143,15 @@
 	return sum, s.newest
 }
 
-// BucketSums returns the sum of each part.
+// BucketSums returns the checksum of each bucket.
 func (s *Set) BucketSums() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.sums[:])
 }
 
-// Diff returns the records of the parts whose sums differ from those of another set, in the order of their
-// keys, those that are gone too. Without sums of the other it returns all.
+// Diff returns the records, tombstones included, of the buckets whose checksums differ from those of another set,
+// in the order of their keys. Without the other's checksums it returns all.
 func (s *Set) Diff(theirs []uint64) []Record {
 	mine := s.BucketSums()
 	return slices.DeleteFunc(s.All(), func(r Record) bool {
@@ -159,21 +160,21 @@
 	})
 }
 
-// Len returns how many records are held, those that are gone too.
+// Len returns the number of records, tombstones included.
 func (s *Set) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.records)
 }
 
-// Newest returns the highest version of any record that was taken in, gone ones too; 0 if there was none.
+// Newest returns the highest version of any record added, tombstones included, or 0 if there was none.
 func (s *Set) Newest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newest
 }
 
-// Get returns the record of the key, if it is held and not gone.
+// Get returns the record of the key, unless it is missing or deleted.
 func (s *Set) Get(key string) (r Record, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +182,7 @@
 	return r, found && !r.Deleted
 }
 
-// All returns all records in the order of their keys, those that are gone too.
+// All returns all records in the order of their keys, tombstones included.
 func (s *Set) All() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +193,7 @@
 	return list
 }
 
-// Live returns the records that are not gone, in the order of their keys.
+// Live returns the records that are not deleted, in the order of their keys.
 func (s *Set) Live() []Record {
 	return slices.DeleteFunc(s.All(), func(r Record) bool { return r.Deleted })
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSetKeepsTheNewest brings records to two sets late, twice and in any order, by parts and
-// whole. The oracle is the store's own log.
+// TestSetKeepsTheNewest adds records to two sets late, twice and in any order, singly, by buckets and complete.
+// The sets are checked against the log of all writes.
 func TestSetKeepsTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(1000)
@@ -67,7 +67,7 @@
 	})
 }
 
-// check says whether a set went back, or holds what the store never had.
+// check fails if a set went back to an older version, or holds a record that was never written.
 func check(t *rapid.T, s *replica.Set, held map[string]uint64, log []replica.Record) {
 	for _, r := range s.All() {
 		if r.Version < held[r.Key] {
@@ -101,7 +101,7 @@
 	c := clock.NewManual(1000)
 	s := replica.New(c)
 	s.Put([]replica.Record{{Key: "x", Version: 5, Deleted: true}})
-	is.Equal(len(s.Put([]replica.Record{{Key: "x", Version: 4}})), 0) // older news stays without effect
+	is.Equal(len(s.Put([]replica.Record{{Key: "x", Version: 4}})), 0) // an older update has no effect
 	c.Advance(replica.TombstoneTTL + 1)
 	s.Put([]replica.Record{{Key: "y", Version: 6}})
 	is.Equal(len(s.All()), 1)
@@ -117,7 +117,8 @@
 	is.Equal(string(r.Value), "good")
 }
 
-// TestDiffReturnsDifferingBuckets changes one of many records, and takes in what the other set has in the parts that differ.
+// TestDiffReturnsDifferingBuckets changes two of many records and checks that Diff returns only the buckets that
+// differ.
 func TestDiffReturnsDifferingBuckets(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -129,11 +130,11 @@
 	a.Put(list)
 	b.Put(list)
 	is.Equal(len(a.Diff(b.BucketSums())), 0)
-	is.Equal(len(a.Diff(nil)), 2000) // a node that tells no sums gets all
+	is.Equal(len(a.Diff(nil)), 2000) // without checksums all are returned
 	a.Put([]replica.Record{{Key: "i-7", Version: 3000}})
 	a.Put([]replica.Record{{Key: "i-8", Version: 3001, Deleted: true}})
 	changed := a.Diff(b.BucketSums())
-	is.True(len(changed) >= 2 && len(changed) < 80) // two parts of 128, of 16 records each
+	is.True(len(changed) >= 2 && len(changed) < 80) // two of 128 buckets, with about 16 records each
 	is.Equal(len(b.Put(changed)), 2)
 	is.Equal(a.Sum(), b.Sum())
 }
