--- a/leave/leave.go
+++ b/leave/leave.go
@@ -1,72 +1,74 @@
-// Package leave decides how a node ends without cutting a request: until when it takes connections and requests, how long
-// it stays for callers that keep theirs, and when it may end. It does no I/O.
+// Package leave decides how a node shuts down gracefully: until when it accepts connections and requests, how long
+// it stays for callers with open connections, and when it may end. It does no I/O.
 //
-// The load that it answers: callers that go on using a connection which they opened before, at any moment, until they see
-// its end. They are sent away with each answer, and told of another node when they ask again, but one that rests cannot be
-// told anything: closed too soon, it takes the request that is on its way with it.
+// Callers may send a request on an open connection at any moment until they see it closed. Each response directs
+// them to another node, but an idle connection carries no response: closed too soon, it loses the request in
+// flight.
 package leave
 
 import "github.com/tinladder/tinladder/clock"
 
-// Shares of the grace period, in percent.
+// Points in time, in percent of the grace period.
 const (
-	// acceptShare is for how long connections are taken: callers may keep an address that long before they ask again.
+	// acceptShare is until when connections are accepted: callers may keep an address that long before they
+	// resolve it again.
 	acceptShare = 45
-	// requestShare is for how long requests are taken that may last beyond the end, and would be cut. Most are over long
-	// before their time is.
+	// requestShare is until when requests are accepted that may run beyond the end and be cut off. Most finish
+	// long before their limit.
 	requestShare = 48
-	// idleShare is for how long connections that rest are left open: a caller may send on one as it is closed.
+	// idleShare is until when idle connections stay open: a caller may send a request on one as it is closed.
 	idleShare = 84
-	// respondShare is when what is still at work is answered by the node itself, and endShare when it ends. What is left is
-	// for a node that learns late that it is to leave, as on a machine that is overloaded.
+	// respondShare is when the node itself responds to requests still in progress, and endShare when it ends. The
+	// rest is for a node that learns late that it is to leave, as on an overloaded machine.
 	respondShare = 90
 	endShare     = 92
 	percent      = 100
 )
 
 const (
-	// responseMargin is what an answer takes, after a request's time is over, to be out of the node.
+	// responseMargin is how long a response takes to leave the node after a request's time limit.
 	responseMargin clock.Millis = 50
-	// minEndMargin is the least that a node ends before its grace period, and lastTime that it answers before it ends: a
-	// share of a short one is less than the steps take.
+	// minEndMargin is the least time between the end and the end of the grace period, and minResponseMargin the
+	// least between responding to pending requests and the end: with a short grace period the shares leave less
+	// than the steps take.
 	minEndMargin      clock.Millis = 60
 	minResponseMargin clock.Millis = 40
 )
 
-// A Plan is for a node with so long a grace period.
+// A Plan is the shutdown schedule for a grace period.
 type Plan struct {
 	Grace clock.Millis
 }
 
-// A Step is what the node does at a moment of its leaving, and all steps before it.
+// A Step is a stage of the shutdown. It includes all earlier ones.
 type Step int
 
 // Steps, in their order.
 const (
-	// Serve serves whoever comes, and sends callers away with their answers.
+	// Serve accepts connections, and directs callers to other nodes with each response.
 	Serve Step = iota
-	// StopAccepting takes no further connections.
+	// StopAccepting accepts no further connections.
 	StopAccepting
-	// CloseWhenIdle ends connections that rest.
+	// CloseWhenIdle closes idle connections.
 	CloseWhenIdle
-	// RespondPending answers what is still at work, as far as is known of it.
+	// RespondPending responds to requests still in progress with what is known of their outcome.
 	RespondPending
-	// End closes what is left.
+	// End closes the remaining connections.
 	End
 )
 
-// String returns the step's name.
+// String returns the name under which the step is logged.
 func (s Step) String() string {
 	return [...]string{"serve", "shut", "hang-up", "answer", "end"}[s]
 }
 
-// Conns is what is open at a node.
+// Conns counts a node's open connections.
 type Conns struct {
-	// Callers are the connections of callers, and All those of all doors.
+	// Callers counts the connections of callers, and All those on all listeners.
 	Callers, All int
 }
 
-// Next returns the step, so long after the node was told to leave.
+// Next returns the step at a time since the node was told to leave.
 func (p Plan) Next(elapsed clock.Millis, o Conns) Step {
 	switch {
 	case elapsed < min(p.share(acceptShare), p.endAt()):
@@ -81,13 +83,13 @@
 	return StopAccepting
 }
 
-// Accepts says whether a request is taken that may last so long: one that will have ended before the node does, whatever
-// becomes of it, and early on any.
+// Accepts reports whether to accept a request that may run for limit: early on any, later only one whose limit and
+// response end before the node responds to pending requests.
 func (p Plan) Accepts(elapsed, limit clock.Millis) bool {
 	return elapsed < p.share(requestShare) || elapsed+limit+responseMargin <= p.respondAt()
 }
 
-// endAt is when the node ends, and answer when what is still at work is answered.
+// endAt is when the node ends, and respondAt when it responds to pending requests.
 func (p Plan) endAt() clock.Millis {
 	return min(p.share(endShare), p.Grace-minEndMargin)
 }
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -18,17 +18,17 @@
 		open    leave.Conns
 		want    leave.Step
 	}{
-		{"callers may come", 0, none, leave.Serve},
-		{"until others know", 2699, none, leave.Serve},
-		{"nobody is there", 2700, none, leave.End},
-		{"a caller rests, with grace left", 2700, idle, leave.StopAccepting},
-		{"it still rests", 5039, idle, leave.StopAccepting},
-		{"it may not any more", 5040, idle, leave.CloseWhenIdle},
-		{"only other nodes rest", 2700, peers, leave.CloseWhenIdle},
-		{"something is at work", 5400, idle, leave.RespondPending},
-		{"something of another node is", 5400, peers, leave.RespondPending},
-		{"nothing is, late", 5400, none, leave.End},
-		{"it is time", 5520, idle, leave.End},
+		{"accepting callers", 0, none, leave.Serve},
+		{"just before accepting ends", 2699, none, leave.Serve},
+		{"no connections", 2700, none, leave.End},
+		{"idle caller, grace left", 2700, idle, leave.StopAccepting},
+		{"idle caller, just before the idle limit", 5039, idle, leave.StopAccepting},
+		{"idle caller, at the idle limit", 5040, idle, leave.CloseWhenIdle},
+		{"only peers connected", 2700, peers, leave.CloseWhenIdle},
+		{"request in progress", 5400, idle, leave.RespondPending},
+		{"peer request in progress", 5400, peers, leave.RespondPending},
+		{"no connections, late", 5400, none, leave.End},
+		{"end of the plan", 5520, idle, leave.End},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -44,12 +44,12 @@
 		want           bool
 	}{
 		{"early, long", 100, 12_000, true},
-		{"before half, long", 2800, 12_000, true},
-		{"after it, long", 2900, 3000, false},
-		{"after it, short", 2900, 800, true},
-		{"late, just in time", 4550, 800, true},
-		{"late, just not", 4551, 800, false},
-		{"at the end, without a bound", 5800, 0, false},
+		{"before the share, long", 2800, 12_000, true},
+		{"after the share, long", 2900, 3000, false},
+		{"after the share, short", 2900, 800, true},
+		{"late, just short enough", 4550, 800, true},
+		{"late, just too long", 4551, 800, false},
+		{"at the end, no limit", 5800, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestAcceptedRequestsEndInTime: whatever is taken after half of the grace period is over before what is still at work is
-// answered, for any grace period and limit.
+// TestAcceptedRequestsEndInTime checks that each request accepted after half of the grace period ends before the
+// node responds to pending requests, for any grace period and limit.
 func TestAcceptedRequestsEndInTime(t *testing.T) {
 	is := is.New(t)
 	for _, grace := range []clock.Millis{500, 2000, 4000, 6000, 30_000} {
