--- a/stall/stall.go
+++ b/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall bounds a call by its silence and not by its length: an answer that keeps coming may take as
-// long as its size needs, and one that stops coming is given up.
+// Package stall limits how long a response may stall instead of how long it may take: one that keeps arriving may
+// take as long as its size needs, and one that stalls is cancelled.
 package stall
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors that a call ends with, as the cause of its context.
+// Errors that are set as the cause of a call's context.
 var (
-	// ErrStalled says that nothing came for too long.
-	ErrStalled = errors.New("nothing came for too long")
-	// ErrTooLong says that the answer kept coming for longer than any answer may.
-	ErrTooLong = errors.New("the answer does not end")
+	// ErrStalled means that no data arrived within the time limit.
+	ErrStalled = errors.New("response stalled: no data within the time limit")
+	// ErrTooLong means that the response exceeded the total time limit.
+	ErrTooLong = errors.New("response exceeded the total time limit")
 )
 
-// Limits are the longest times that a call may take.
+// Limits are the time limits of a call.
 type Limits struct {
-	// FirstByte is until the first byte of the answer's body, and Idle between two pieces of it.
+	// FirstByte is until the first byte of the response body, and Idle between two reads of it.
 	FirstByte, Idle time.Duration
-	// Total is all in all.
+	// Total is for the whole call.
 	Total time.Duration
 }
 
-// A Guard struct ends one call when it stalls.
+// A Guard struct cancels one call when it exceeds its limits.
 type Guard struct {
 	idleLimit time.Duration
 	idle      *time.Timer
@@ -36,8 +36,7 @@
 	read      atomic.Int64
 }
 
-// Watch returns a context for a call, and the guard that ends it. The guard must be closed once the answer has
-// been read.
+// Watch returns a context for a call, and the guard that cancels it. Close the guard once the response was read.
 func Watch(ctx context.Context, l Limits) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	g := &Guard{idleLimit: l.Idle, cancel: cancel}
@@ -46,25 +45,25 @@
 	return ctx, g
 }
 
-// Body returns the answer's body, so that what is read of it counts as life.
+// Body wraps the response body, so that each read of data restarts the idle timer.
 func (g *Guard) Body(body io.ReadCloser) io.ReadCloser {
 	return &guardedBody{ReadCloser: body, guard: g}
 }
 
-// BytesRead returns how many bytes of the body have come.
+// BytesRead returns the number of bytes read from the body.
 func (g *Guard) BytesRead() int64 {
 	return g.read.Load()
 }
 
-// Close ends the guard, and the call if it still goes on.
+// Close stops the guard, and cancels the call if it is still running.
 func (g *Guard) Close() {
 	g.idle.Stop()
 	g.total.Stop()
 	g.cancel(nil)
 }
 
-// maxRead is the most that one read takes: a reader of chunks goes on until the buffer that it is given is full, and on a
-// small link a large one takes longer to fill than any pause may be.
+// maxRead is the most that one read returns: within a chunk the library reads on until the buffer is full, and on
+// a slow link a large one takes longer to fill than the idle limit.
 const maxRead = 16 << 10
 
 type guardedBody struct {
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -14,7 +14,7 @@
 	"github.com/tinladder/tinladder/stall"
 )
 
-// call reads an answer whose pieces come after the pauses, as a client would, and returns what it got.
+// call reads a response whose bytes are sent after the given pauses, and returns how many arrived.
 func call(l stall.Limits, pauses ...time.Duration) (got int, err error) {
 	ctx, g := stall.Watch(context.Background(), l)
 	defer g.Close()
@@ -47,11 +47,11 @@
 		want   error
 		least  int
 	}{
-		{"at once", []time.Duration{short, short}, nil, 2},
-		{"longer than any pause may be, in pieces", endless[:50], nil, 50},
+		{"without a stall", []time.Duration{short, short}, nil, 2},
+		{"longer than the idle limit, steadily", endless[:50], nil, 50},
 		{"never begins", []time.Duration{long}, stall.ErrStalled, 0},
 		{"stops midway", []time.Duration{short, short, long}, stall.ErrStalled, 2},
-		{"does not end", endless, stall.ErrTooLong, 20},
+		{"exceeds the total limit", endless, stall.ErrTooLong, 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestLongChunkIsNotAStall reads an answer that comes as one chunk, in pieces at a steady pace. The library goes on
-// reading within a chunk until the reader's buffer is full, which takes the longer the more has come.
+// TestLongChunkIsNotAStall reads a response that is one chunk, sent piece by piece at a steady rate. The library
+// reads on within a chunk until the reader's buffer is full, and io.ReadAll grows that buffer, so an unlimited
+// read would exceed the idle limit.
 func TestLongChunkIsNotAStall(t *testing.T) {
 	is := is.New(t)
 	const piece, pieces, pause = 8 << 10, 96, 10 * time.Millisecond
