--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is the fleet's only source of time, in milliseconds.
+// Package clock is the only source of time, in milliseconds.
 package clock
 
 import (
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Millis is a point in time, or a span of it, in milliseconds.
+// Millis is a point in time or a duration, in milliseconds.
 type Millis int64
 
-// Common spans.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
 )
 
-// Duration returns m as the standard library's duration.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
@@ -30,24 +30,24 @@
 	Now() Millis
 }
 
-// A Manual struct is a clock that moves only when told to.
+// A Manual struct is a clock for tests that moves only when told to.
 type Manual struct {
 	now atomic.Int64
 }
 
-// NewManual returns a clock that stands at now.
+// NewManual returns a manual clock set to now.
 func NewManual(now Millis) *Manual {
 	c := &Manual{}
 	c.now.Store(int64(now))
 	return c
 }
 
-// Now returns the time that the clock was last moved to.
+// Now implements Clock.
 func (c *Manual) Now() Millis {
 	return Millis(c.now.Load())
 }
 
-// Advance moves the clock on by d.
+// Advance moves the clock forward by d.
 func (c *Manual) Advance(d Millis) {
 	c.now.Add(int64(d))
 }
