--- a/clock/suspend.go
+++ b/clock/suspend.go
@@ -7,30 +7,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// wallTolerance is how far the time of day may move against the steady clock until it is looked whether the machine was
-// suspended. Adjusting it takes minutes for as much.
+// wallTolerance is how far wall time may move against the monotonic clock before the kernel is asked whether the
+// machine was suspended. Adjusting the clock by as much takes minutes.
 const wallTolerance Millis = 20
 
-// A reading is what the machine's clocks show: the steady one, which stands still while the machine is suspended, and the
-// time of day, which does not, in milliseconds since any moments of their own.
+// A reading is what the machine's clocks show, each from its own origin: the monotonic one, which stops while the
+// machine is suspended, and the wall clock, which does not.
 type reading struct {
 	mono, wall Millis
 }
 
-// A system clock starts at the wall clock's time and follows the monotonic clock, which goes on while the process is
-// stopped, and what the machine was suspended besides: trust, leases and budgets that rest on elapsed time would all be
-// taken as fresh at waking. Asking the kernel for both costs a system call; the time of day comes with the steady clock for
-// nothing and jumps with a suspension, so the kernel is asked only when that has moved.
+// A system clock starts at the wall clock's time and follows the monotonic clock, which runs on while the process
+// is stopped, plus the time for which the machine was suspended: otherwise all trust, leases and budgets that rest
+// on elapsed time would seem fresh on resume. Asking the kernel costs a system call. Wall time comes with the
+// monotonic time at no extra cost and jumps on a suspension, so the kernel is asked only when it moved.
 type system struct {
 	read func() reading
-	// boot is the steady clock with all suspensions; it fails if the machine cannot tell.
+	// boot returns the clock that includes suspensions along with the monotonic one; it fails if the machine has
+	// none.
 	boot func() (boot, mono Millis, err error)
 
 	start reading
-	// bootOffset is by how much boot was bootOffset of the steady clock at the start.
+	// bootOffset is by how much boot time was ahead of monotonic time at the start.
 	bootOffset Millis
-	// wallOffset is by how much the time of day was ahead of the steady clock when last looked, and suspended how long the machine
-	// was suspended since the start.
+	// wallOffset is by how much wall time was ahead of monotonic time when last checked, and suspended for how
+	// long the machine was suspended since the start.
 	wallOffset, suspended atomic.Int64
 }
 
@@ -62,8 +63,8 @@
 	return c.start.wall + now.mono - c.start.mono + Millis(c.suspended.Load())
 }
 
-// checkSuspend asks the kernel how long the machine was suspended. Several may at once, and find the same; what was found is
-// never taken back.
+// checkSuspend asks the kernel how long the machine was suspended. Concurrent calls are safe: the result never
+// decreases.
 func (c *system) checkSuspend(wallOffset Millis) {
 	if b, mono, err := c.boot(); err == nil {
 		for suspended := int64(b - mono - c.bootOffset); ; {
@@ -76,8 +77,8 @@
 	c.wallOffset.Store(int64(wallOffset))
 }
 
-// bootTime reads both of the kernel's steady clocks, the one that counts suspensions last: between them nothing is
-// missed that the next look would not find.
+// bootTime reads both kernel clocks, the one that counts suspensions last: a suspension between the two reads is
+// not missed.
 func bootTime() (boot, mono Millis, err error) {
 	var s, b unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &s); err != nil {
--- a/clock/suspend_test.go
+++ b/clock/suspend_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// machine is a machine's clocks, which a test moves.
+// machine fakes a machine's clocks.
 type machine struct {
 	mu               sync.Mutex
 	mono, wall, boot Millis
@@ -29,14 +29,14 @@
 	return m.boot, m.mono, m.bootErr
 }
 
-// run lets time pass.
+// run advances all clocks.
 func (m *machine) run(d Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mono, m.wall, m.boot = m.mono+d, m.wall+d, m.boot+d
 }
 
-// suspend lets time pass of which the steady clock knows nothing.
+// suspend advances all clocks but the monotonic one.
 func (m *machine) suspend(d Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,8 +47,9 @@
 	return &machine{mono: 500, wall: 1_000_000, boot: 7_000}
 }
 
-// A machine that is suspended for seconds wakes with a steady clock that has not moved. All that goes by elapsed time took
-// what it held for fresh: keys that had been taken away meanwhile, parts of limits that others had been given, leases.
+// TestSuspensionsCount guards against the monotonic clock's stop while the machine is suspended: on resume,
+// everything that expires by elapsed time seemed fresh, such as keys revoked meanwhile, shares of limits given to
+// others, and leases.
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
@@ -58,16 +59,16 @@
 	is.Equal(c.Now(), Millis(1_002_000))
 	asked := m.bootReads
 	m.suspend(5 * Second)
-	is.Equal(c.Now(), Millis(1_007_000)) // the first look after waking knows
+	is.Equal(c.Now(), Millis(1_007_000)) // the first reading after resume includes it
 	m.run(100)
 	is.Equal(c.Now(), Millis(1_007_100))
-	is.Equal(m.bootReads, asked+1) // and the kernel is asked but once
+	is.Equal(m.bootReads, asked+1) // the kernel is asked only once
 	m.suspend(3 * Second)
 	m.suspend(2 * Second)
 	is.Equal(c.Now(), Millis(1_012_100))
 }
 
-// TestWallTimeIsNotFollowed sets the time of day forth and back, by itself and while the machine is suspended.
+// TestWallTimeIsNotFollowed sets wall time forward and back, alone and while the machine is suspended.
 func TestWallTimeIsNotFollowed(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
@@ -85,7 +86,8 @@
 	is.Equal(c.Now(), before+4*Second)
 }
 
-// TestClockNeverGoesBack has many look at once as the machine wakes, and the kernel fail.
+// TestClockNeverGoesBack reads the clock concurrently while the machine resumes, and then with a kernel clock that
+// fails.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newMachine()
 	c := newSystem(m.read, m.bootTime)
@@ -112,7 +114,7 @@
 	m.suspend(Second)
 	m.run(5)
 	if now := c.Now(); now < before+5 {
-		t.Errorf("%d after %d: a kernel that cannot tell stops the clock", now, before)
+		t.Errorf("%d after %d: the clock stops when the kernel clock fails", now, before)
 	}
 }
 
@@ -126,7 +128,7 @@
 	is.True(c.Now()-first < Second)
 }
 
-// BenchmarkNow is what a look at the clock costs: 106 ns, where the steady clock alone costs 68.
+// BenchmarkNow measures one reading: 106 ns, against 68 for the monotonic clock alone.
 func BenchmarkNow(b *testing.B) {
 	c := NewSystem()
 	for b.Loop() {
