--- a/ident/ident.go
+++ b/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident holds the named types for ids and units that the other libraries share.
+// Package ident defines the types of ids and units that the other packages share.
 package ident
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Named ids. Each is a plain name of letters, digits, dashes, dots and underscores.
+// Each id is a plain name of letters, digits, dashes, dots and underscores.
 type (
 	// Workspace names a customer.
 	Workspace string
-	// Target names a back end within its service.
+	// Target names a backend within its service.
 	Target string
 	// Node names a node of the fleet.
 	Node string
@@ -24,13 +24,13 @@
 	Key string
 	// Version is the sequence number of the change that wrote a document.
 	Version uint64
-	// Incarnation tells the processes of one node apart; a later one is higher.
+	// Incarnation distinguishes the processes of one node; a later one is higher.
 	Incarnation uint64
-	// Slots counts requests that run at a time.
+	// Slots counts concurrent requests.
 	Slots int
 )
 
-// MaxName is the most bytes in a name.
+// MaxName is the greatest length of a name in bytes.
 const MaxName = 64
 
 // Prefixes of document keys.
@@ -43,7 +43,7 @@
 	HallsPrefix = "hall/"
 )
 
-// ErrName says that a name is empty, too long, or has a character that names may not have.
+// ErrName means that a name is empty, too long, or has a character that is not allowed.
 var ErrName = errors.New("name must be 1 to 64 letters, digits, dashes, dots or underscores")
 
 // CheckName returns ErrName unless s is a valid name.
@@ -83,7 +83,7 @@
 	return Key(ServicesPrefix + s.String())
 }
 
-// ParseService reads what String gave.
+// ParseService parses the format of Service.String.
 func ParseService(s string) (svc Service, err error) {
 	defer func() { err = errors.Wrapf(err, "service %q", s) }()
 	ws, name, found := strings.Cut(s, "/")
@@ -99,7 +99,7 @@
 	return Service{Workspace: Workspace(ws), Name: name}, nil
 }
 
-// ServiceOf returns the service whose document has the key, if it is a service's.
+// ServiceOf returns the service whose document has the key, and false if the key is not a service's.
 func ServiceOf(k Key) (Service, bool) {
 	rest, found := strings.CutPrefix(string(k), ServicesPrefix)
 	if !found {
@@ -109,7 +109,7 @@
 	return svc, err == nil
 }
 
-// ServicePrefix is the prefix of the keys of all of a workspace's services.
+// ServicePrefix returns the prefix of the keys of all services of a workspace.
 func ServicePrefix(w Workspace) string {
 	return ServicesPrefix + string(w) + "/"
 }
@@ -124,7 +124,7 @@
 	return Key(HallsPrefix + string(h))
 }
 
-// A Process struct names one process of a node.
+// A Process struct identifies one process of a node.
 type Process struct {
 	Node        Node
 	Incarnation Incarnation
@@ -135,7 +135,7 @@
 	return string(p.Node) + "/" + strconv.FormatUint(uint64(p.Incarnation), 10)
 }
 
-// ParseProcess reads what String gave.
+// ParseProcess parses the format of Process.String.
 func ParseProcess(s string) (p Process, err error) {
 	defer func() { err = errors.Wrapf(err, "process %q", s) }()
 	node, inc, found := strings.Cut(s, "/")
