--- a/leave/leave.go
+++ b/leave/leave.go
@@ -69,15 +69,15 @@
 }
 
 // Next returns the step at a time since the node was told to leave.
-func (p Plan) Next(elapsed clock.Millis, o Conns) Step {
+func (p Plan) Next(elapsed clock.Millis, c Conns) Step {
 	switch {
 	case elapsed < min(p.share(acceptShare), p.endAt()):
 		return Serve
-	case o.All == 0, elapsed >= p.endAt():
+	case c.All == 0, elapsed >= p.endAt():
 		return End
 	case elapsed >= p.respondAt():
 		return RespondPending
-	case o.Callers == 0, elapsed >= p.share(idleShare):
+	case c.Callers == 0, elapsed >= p.share(idleShare):
 		return CloseWhenIdle
 	}
 	return StopAccepting
@@ -98,6 +98,6 @@
 	return min(p.share(respondShare), p.endAt()-minResponseMargin)
 }
 
-func (p Plan) share(hundredth clock.Millis) clock.Millis {
-	return p.Grace * hundredth / percent
+func (p Plan) share(pct clock.Millis) clock.Millis {
+	return p.Grace * pct / percent
 }
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -80,12 +80,12 @@
 }
 
 // Heard records a message from another node of the hall, which says whether the store fails for it.
-func (h *Hall) Heard(p ident.Process, deaf bool) {
+func (h *Hall) Heard(p ident.Process, failing bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	h.heardAt = now
-	if deaf {
+	if failing {
 		h.failing[p], h.lastFailing = now, now
 	} else {
 		delete(h.failing, p)
@@ -111,27 +111,27 @@
 
 // QueryFailed records that the store did not answer this node. It returns the backoff until this node's next query
 // as its hall is now, and whether the node was not failing before.
-func (h *Hall) QueryFailed() (pause clock.Millis, first bool) {
+func (h *Hall) QueryFailed() (delay clock.Millis, first bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
-	_, again := h.failing[h.self]
+	_, before := h.failing[h.self]
 	h.failing[h.self], h.lastFailing = now, now
 	if now-h.failedAt >= h.backoff/2 { // concurrent failures count once
 		h.backoff = min(max(2*h.backoff, minBackoff), maxBackoff)
 	}
 	h.failedAt, h.jitter = now, minJitter+rand.Float64()*(maxJitter-minJitter)
-	return h.delay(now), !again
+	return h.delay(now), !before
 }
 
 // delay is this node's backoff after a failed query. It grows with the number of failing nodes in the hall, since
 // the first node that succeeds tells the others; an isolated node cannot rely on that.
 func (h *Hall) delay(now clock.Millis) clock.Millis {
-	pause := h.backoff
+	backoff := h.backoff
 	if now-h.heardAt < isolatedAfter {
-		pause = max(pause, min(clock.Millis(h.countFailing(now))*backoffPerFailing, maxHallBackoff))
+		backoff = max(backoff, min(clock.Millis(h.countFailing(now))*backoffPerFailing, maxHallBackoff))
 	}
-	return clock.Millis(h.jitter * float64(pause))
+	return clock.Millis(h.jitter * float64(backoff))
 }
 
 // AllowQuery reports whether a query may be sent now, and records it. A failing node sends one query at a time,
@@ -140,7 +140,7 @@
 func (h *Hall) AllowQuery() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, deaf := h.failing[h.self]; !deaf {
+	if _, failing := h.failing[h.self]; !failing {
 		return true
 	}
 	now := h.clock.Now()
@@ -155,8 +155,8 @@
 func (h *Hall) Failing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, deaf := h.failing[h.self]
-	return deaf
+	_, failing := h.failing[h.self]
+	return failing
 }
 
 // Healthy reports whether no node of the hall failed recently: nodes are then ranked by their weights alone.
@@ -185,11 +185,11 @@
 	now := h.clock.Now()
 	eligible := map[ident.Node]uint32{h.self.Node: weights[h.self]}
 	for p, w := range weights {
-		if at, deaf := h.failing[p]; p != h.self && !(deaf && now-at < failingTTL) {
+		if at, failing := h.failing[p]; p != h.self && !(failing && now-at < failingTTL) {
 			eligible[p.Node] = w
 		}
 	}
-	if at, deaf := h.failing[h.self]; deaf && now-at < failingTTL {
+	if at, failing := h.failing[h.self]; failing && now-at < failingTTL {
 		return len(eligible) - 1
 	}
 	return rank(eligible, h.self.Node)
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -114,10 +114,10 @@
 }
 
 // notify informs the other nodes whether the store fails for the node, and when it last confirmed its state.
-func (s *sim) notify(from *simNode, deaf bool) {
+func (s *sim) notify(from *simNode, failing bool) {
 	for _, n := range s.nodes {
 		if n != from && !n.dead && !n.isolated && !from.isolated {
-			n.hall.Heard(from.self, deaf)
+			n.hall.Heard(from.self, failing)
 			n.confirmed = max(n.confirmed, from.confirmed)
 		}
 	}
