--- a/member/stateful_test.go
+++ b/member/stateful_test.go
@@ -102,7 +102,7 @@
 				w.run(20 * clock.Second)
 				f(w)
 				start := w.clock.Now()
-				for w.seenBy("n07") > 0 && w.clock.Now()-start < clock.Minute {
+				for w.countLive("n07") > 0 && w.clock.Now()-start < clock.Minute {
 					w.run(step)
 				}
 				took := w.clock.Now() - start
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// seenBy counts the running nodes that list the name as live.
-func (w *net) seenBy(name string) int {
+// countLive counts the running nodes that list the name as live.
+func (w *net) countLive(name string) int {
 	n := 0
 	for _, other := range w.order {
 		if other == name || w.tables[other] == nil || w.frozen[other] {
@@ -104,7 +104,7 @@
 	w := newNet(44, 1)
 	w.run(30 * clock.Second)
 	for _, name := range w.order {
-		is.Equal(w.seenBy(name), 43)
+		is.Equal(w.countLive(name), 43)
 	}
 }
 
@@ -114,7 +114,7 @@
 	w.run(30 * clock.Second)
 	w.tables["n07"] = nil
 	w.run(8 * clock.Second)
-	is.Equal(w.seenBy("n07"), 0)
+	is.Equal(w.countLive("n07"), 0)
 }
 
 func TestPausedNodeReturnsAndSuspectsNobody(t *testing.T) {
@@ -123,11 +123,11 @@
 	w.run(20 * clock.Second)
 	w.frozen["n05"] = true
 	w.run(60 * clock.Second)
-	is.Equal(w.seenBy("n05"), 0)
+	is.Equal(w.countLive("n05"), 0)
 	w.frozen["n05"] = false
 	w.run(10 * clock.Second)
 	for _, name := range w.order {
-		is.Equal(w.seenBy(name), 19)
+		is.Equal(w.countLive(name), 19)
 	}
 }
 
@@ -161,7 +161,7 @@
 			w.start("n05", 3000) // two seconds earlier by its own clock
 			w.run(5 * clock.Second)
 			is.True(!w.tables["n05"].Superseded())
-			is.Equal(w.seenBy("n05"), 19)
+			is.Equal(w.countLive("n05"), 19)
 			for _, name := range w.order {
 				if name == "n05" {
 					continue
@@ -182,8 +182,8 @@
 	w.run(10 * clock.Second)
 	w.cut[[2]string{"n02", "n03"}] = true
 	w.run(30 * clock.Second)
-	is.Equal(w.seenBy("n03"), 9)
-	is.Equal(w.seenBy("n02"), 9)
+	is.Equal(w.countLive("n03"), 9)
+	is.Equal(w.countLive("n02"), 9)
 }
 
 func TestDeafNodeKnowsThatItIsIsolated(t *testing.T) {
@@ -195,16 +195,16 @@
 	}
 	w.run(10 * clock.Second)
 	is.True(w.tables["n04"].Isolated())
-	is.Equal(w.seenBy("n04"), 0) // unreachable, so no node may list it as live
+	is.Equal(w.countLive("n04"), 0) // unreachable, so no node may list it as live
 	is.True(!w.tables["n05"].Isolated())
 	for range 5 { // it learns of the suspicion over its own connections, and must not refute it
 		w.tables["n04"].Merge(w.tables["n00"].All())
 		w.run(2 * clock.Second)
-		is.Equal(w.seenBy("n04"), 0)
+		is.Equal(w.countLive("n04"), 0)
 	}
 	clear(w.cut)
 	w.run(20 * clock.Second)
-	is.Equal(w.seenBy("n04"), 9)
+	is.Equal(w.countLive("n04"), 9)
 	is.True(!w.tables["n04"].Isolated())
 }
 
@@ -217,7 +217,7 @@
 	for range 60 {
 		w.run(clock.Second)
 		for _, name := range w.order {
-			missing += 43 - w.seenBy(name)
+			missing += 43 - w.countLive(name)
 		}
 	}
 	is.Equal(missing, 0)
@@ -235,12 +235,12 @@
 		}
 	}
 	w.run(60 * clock.Second)
-	is.Equal(w.seenBy(w.order[0]), 3)
-	is.Equal(w.seenBy(w.order[8]), 7)
+	is.Equal(w.countLive(w.order[0]), 3)
+	is.Equal(w.countLive(w.order[8]), 7)
 	clear(w.cut)
 	w.run(60 * clock.Second)
 	for _, name := range w.order {
-		is.Equal(w.seenBy(name), 11)
+		is.Equal(w.countLive(name), 11)
 	}
 }
 
@@ -256,7 +256,7 @@
 	w.send("n01", w.tables["n01"].AnnounceGone())
 	w.tables["n01"] = nil
 	w.run(2 * clock.Second)
-	is.Equal(w.seenBy("n01"), 0)
+	is.Equal(w.countLive("n01"), 0)
 	is.Equal(member.ProcessOf(&tlv1.Member{Node: "a", Incarnation: 2}), ident.Process{Node: "a", Incarnation: 2})
 }
 
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestSumTellsSetsApart(t *testing.T) {
+func TestSumDiffersBetweenSets(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	a, b := replica.New(c), replica.New(c)
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -42,10 +42,10 @@
 		endless[i] = short
 	}
 	cases := []struct {
-		name   string
-		pauses []time.Duration
-		want   error
-		least  int
+		name     string
+		pauses   []time.Duration
+		want     error
+		minBytes int
 	}{
 		{"without a stall", []time.Duration{short, short}, nil, 2},
 		{"longer than the idle limit, steadily", endless[:50], nil, 50},
@@ -58,7 +58,7 @@
 			is := is.New(t)
 			got, err := call(limits, c.pauses...)
 			is.True(errors.Is(err, c.want) && (err == nil) == (c.want == nil))
-			is.True(got >= c.least)
+			is.True(got >= c.minBytes)
 		})
 	}
 }
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -127,16 +127,16 @@
 // on others' reports that the store was unavailable. 291 nodes queried for themselves, for each kind of record,
 // every 1.5 s: 6,504 calls on a day on which the store rejected calls for 8 s, against about 900 on a normal day.
 
-// TestSearchWhileTheStoreIsAway counts the calls of one hall while the store fails for 8 s, and checks how soon
+// TestSearchWhileStoreIsUnavailable counts the calls of one hall while the store fails for 8 s, and checks how soon
 // all nodes have a confirmation once it answers again.
-func TestSearchWhileTheStoreIsAway(t *testing.T) {
+func TestSearchWhileStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	const away = 8 * clock.Second
 	cases := []struct {
-		name  string
-		nodes int
-		how   treatment
-		most  int // calls
+		name     string
+		nodes    int
+		how      treatment
+		maxCalls int // calls
 	}{
 		{"few, turned away", 4, rejects, 40},
 		{"few, silent", 4, unresponsive, 30},
@@ -154,7 +154,7 @@
 			s.treat = func(int) treatment { return c.how }
 			s.run(away)
 			t.Logf("%d calls while the store was failing", s.calls-atRest)
-			is.True(s.calls-atRest <= c.most)
+			is.True(s.calls-atRest <= c.maxCalls)
 			s.treat = func(int) treatment { return answers }
 			oldest := s.run(2500)
 			t.Logf("2.5 s after the recovery the oldest confirmation is %d ms old", oldest)
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestWatchersThatEnd stops the nodes ranked first at once, while the others do not know of it yet.
-func TestWatchersThatEnd(t *testing.T) {
+// TestTopRankedNodesEnd stops the nodes ranked first at once, while the others do not know of it yet.
+func TestTopRankedNodesEnd(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSim(58)
@@ -214,11 +214,11 @@
 	is.True(n.hall.Due(watcher.Query{Age: 1750, Rank: 40}))
 }
 
-// TestNodesCutFromTheirHallAskOnceTheStoreIsBack has the store fail for a hall, and cuts its nodes off from each
+// TestPartitionedNodesQueryOnceStoreRecovers has the store fail for a hall, and cuts its nodes off from each
 // other as the store recovers. Each counts as in touch 3 s later and must hold the newest state by then: it needs
 // an answer within 2 s, which leaves one to read the state. Backoffs drawn for the whole hall kept nodes from
 // querying for up to 8 s.
-func TestNodesCutFromTheirHallAskOnceTheStoreIsBack(t *testing.T) {
+func TestPartitionedNodesQueryOnceStoreRecovers(t *testing.T) {
 	t.Parallel()
 	const bound = 2 * clock.Second
 	for _, how := range []treatment{rejects, unresponsive} {
