--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -123,9 +123,10 @@
 	}
 }
 
-// Guards against a flood of calls to a failing store: each node added a delay of 0.15 s at most and did not rely
-// on others' reports that the store was unavailable. 291 nodes queried for themselves, for each kind of record,
-// every 1.5 s: 6,504 calls on a day on which the store rejected calls for 8 s, against about 900 on a normal day.
+// These tests guard against a flood of calls to an unavailable store. Each node added a delay of 0.15 s at most
+// and did not rely on others' reports that the store was unavailable: 291 nodes queried for themselves, for each
+// kind of record, every 1.5 s. That made 6,504 calls on a day on which the store rejected calls for 8 s, against
+// about 900 on a normal day.
 
 // TestSearchWhileStoreIsUnavailable counts the calls of one hall while the store fails for 8 s, and checks how soon
 // all nodes have a confirmation once it answers again.
@@ -136,7 +137,7 @@
 		name     string
 		nodes    int
 		how      treatment
-		maxCalls int // calls
+		maxCalls int
 	}{
 		{"few, turned away", 4, rejects, 40},
 		{"few, silent", 4, unresponsive, 30},
@@ -181,7 +182,7 @@
 		for range 100 {
 			worst = max(worst, s.run(100))
 		}
-		t.Logf("the oldest word was %d ms old", worst)
+		t.Logf("the oldest confirmation was %d ms old", worst)
 		is.True(worst < 5500) // the bound while the store fails for nodes: 2 s, and a skew of 5 s
 	}
 }
@@ -199,7 +200,7 @@
 	for range 50 {
 		worst = max(worst, s.run(100))
 	}
-	t.Logf("the oldest word was %d ms old", worst)
+	t.Logf("the oldest confirmation was %d ms old", worst)
 	is.True(worst < 1900)
 }
 
@@ -214,7 +215,7 @@
 	is.True(n.hall.Due(watcher.Query{Age: 1750, Rank: 40}))
 }
 
-// TestPartitionedNodesQueryOnceStoreRecovers has the store fail for a hall, and cuts its nodes off from each
+// TestPartitionedNodesQueryOnceStoreRecovers has the store fail for a hall, and partitions its nodes from each
 // other as the store recovers. Each counts as in touch 3 s later and must hold the newest state by then: it needs
 // an answer within 2 s, which leaves one to read the state. Backoffs drawn for the whole hall kept nodes from
 // querying for up to 8 s.
