--- a/member/member.go
+++ b/member/member.go
@@ -76,43 +76,43 @@
 	return &broadcasts{remaining: map[string]int{}}
 }
 
-func (n *broadcasts) set(node string, times int) {
-	n.remaining[node] = times
+func (b *broadcasts) set(node string, times int) {
+	b.remaining[node] = times
 }
 
 // raise is like set, but never lowers the remaining transmissions.
-func (n *broadcasts) raise(node string, times int) {
-	n.remaining[node] = max(n.remaining[node], times)
+func (b *broadcasts) raise(node string, times int) {
+	b.remaining[node] = max(b.remaining[node], times)
 }
 
 // next returns up to limit nodes, those with the most remaining transmissions first, and counts one transmission
 // for each. It runs for every message, and the queue may hold every node of the fleet, so it selects the first few
 // without sorting the rest.
-func (n *broadcasts) next(limit int) []string {
+func (b *broadcasts) next(limit int) []string {
 	nodes := make([]string, 0, limit+1)
-	for node, left := range n.remaining {
-		if len(nodes) == limit && !n.less(node, left, nodes[limit-1]) {
+	for node, left := range b.remaining {
+		if len(nodes) == limit && !b.less(node, left, nodes[limit-1]) {
 			continue
 		}
 		i := len(nodes)
-		for i > 0 && n.less(node, left, nodes[i-1]) {
+		for i > 0 && b.less(node, left, nodes[i-1]) {
 			i--
 		}
 		nodes = slices.Insert(nodes, i, node)
 		nodes = nodes[:min(limit, len(nodes))]
 	}
 	for _, node := range nodes {
-		n.remaining[node]--
-		if n.remaining[node] <= 0 {
-			delete(n.remaining, node)
+		b.remaining[node]--
+		if b.remaining[node] <= 0 {
+			delete(b.remaining, node)
 		}
 	}
 	return nodes
 }
 
 // less reports whether a node with the given remaining transmissions sorts before other.
-func (n *broadcasts) less(node string, left int, other string) bool {
-	if d := left - n.remaining[other]; d != 0 {
+func (b *broadcasts) less(node string, left int, other string) bool {
+	if d := left - b.remaining[other]; d != 0 {
 		return d > 0
 	}
 	return node < other
