--- a/access/proof.go
+++ b/access/proof.go
@@ -21,7 +21,7 @@
 func (p *Proof) ObserveStore(sent, received, reading clock.Millis, current bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.store.Answered(sent, received, reading) {
+	if !p.store.Observe(sent, received, reading) {
 		p.proved = 0
 	}
 	if current {
@@ -34,7 +34,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if latest > 0 {
-		p.store.Bound(sent, latest)
+		p.store.ObserveBound(sent, latest)
 	}
 }
 
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -23,10 +23,10 @@
 	frozen map[string]bool
 	cut    map[[2]string]bool
 	loss   float64
-	queue  []parcel
+	queue  []packet
 }
 
-type parcel struct {
+type packet struct {
 	from, to string
 	gossip   *tlv1.Gossip
 }
@@ -48,20 +48,20 @@
 func (w *net) start(name string, inc uint64) {
 	self := &tlv1.Member{Node: name, Incarnation: inc, Hall: fmt.Sprint("h", int(name[len(name)-1])%3), GossipAddress: name}
 	t := member.New(self, member.DefaultTiming, w.clock, rand.New(rand.NewPCG(w.rand.Uint64(), 2)))
-	t.Seed([]string{"n00", "n01"})
+	t.AddSeeds([]string{"n00", "n01"})
 	if w.tables[name] == nil {
 		w.order = append(w.order, name)
 	}
 	w.tables[name] = t
 }
 
-func (w *net) send(from string, sends []member.Send) {
+func (w *net) send(from string, sends []member.Message) {
 	for _, s := range sends {
-		w.queue = append(w.queue, parcel{from: from, to: s.Address, gossip: s.Gossip})
+		w.queue = append(w.queue, packet{from: from, to: s.Address, gossip: s.Gossip})
 	}
 }
 
-// run moves all on by d; messages take up to one step.
+// run advances time by d; messages take up to one step.
 func (w *net) run(d clock.Millis) {
 	for range d / step {
 		w.clock.Advance(step)
@@ -83,8 +83,8 @@
 	}
 }
 
-// seenBy counts the running nodes that hold the name live.
-func (w *net) seenBy(name string) int {
+// countLive counts the running nodes that list the name as live.
+func (w *net) countLive(name string) int {
 	n := 0
 	for _, other := range w.order {
 		if other == name || w.tables[other] == nil || w.frozen[other] {
@@ -104,7 +104,7 @@
 	w := newNet(44, 1)
 	w.run(30 * clock.Second)
 	for _, name := range w.order {
-		is.Equal(w.seenBy(name), 43)
+		is.Equal(w.countLive(name), 43)
 	}
 }
 
@@ -114,20 +114,20 @@
 	w.run(30 * clock.Second)
 	w.tables["n07"] = nil
 	w.run(8 * clock.Second)
-	is.Equal(w.seenBy("n07"), 0)
+	is.Equal(w.countLive("n07"), 0)
 }
 
-func TestPausedNodeComesBackAndAccusesNobody(t *testing.T) {
+func TestPausedNodeReturnsAndSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	w := newNet(20, 3)
 	w.run(20 * clock.Second)
 	w.frozen["n05"] = true
 	w.run(60 * clock.Second)
-	is.Equal(w.seenBy("n05"), 0)
+	is.Equal(w.countLive("n05"), 0)
 	w.frozen["n05"] = false
 	w.run(10 * clock.Second)
 	for _, name := range w.order {
-		is.Equal(w.seenBy(name), 19)
+		is.Equal(w.countLive(name), 19)
 	}
 }
 
@@ -147,8 +147,8 @@
 	is.True(old.Superseded())
 }
 
-// TestRestartAfterTheClockWentBack restarts a node with a lower incarnation than before. The new
-// process takes the place of the old one all the same.
+// TestRestartAfterTheClockWentBack restarts a node with a lower incarnation than before. The new process must
+// still replace the old one.
 func TestRestartAfterTheClockWentBack(t *testing.T) {
 	for _, down := range []clock.Millis{200, 3 * clock.Second, 20 * clock.Second} {
 		t.Run(fmt.Sprint(down), func(t *testing.T) {
@@ -158,10 +158,10 @@
 			w.run(20 * clock.Second)
 			w.tables["n05"] = nil
 			w.run(down)
-			w.start("n05", 3000) // two seconds earlier, by its own clock
+			w.start("n05", 3000) // two seconds earlier by its own clock
 			w.run(5 * clock.Second)
 			is.True(!w.tables["n05"].Superseded())
-			is.Equal(w.seenBy("n05"), 19)
+			is.Equal(w.countLive("n05"), 19)
 			for _, name := range w.order {
 				if name == "n05" {
 					continue
@@ -182,8 +182,8 @@
 	w.run(10 * clock.Second)
 	w.cut[[2]string{"n02", "n03"}] = true
 	w.run(30 * clock.Second)
-	is.Equal(w.seenBy("n03"), 9)
-	is.Equal(w.seenBy("n02"), 9)
+	is.Equal(w.countLive("n03"), 9)
+	is.Equal(w.countLive("n02"), 9)
 }
 
 func TestDeafNodeKnowsThatItIsIsolated(t *testing.T) {
@@ -195,16 +195,16 @@
 	}
 	w.run(10 * clock.Second)
 	is.True(w.tables["n04"].Isolated())
-	is.Equal(w.seenBy("n04"), 0) // it cannot be asked to serve, so nobody counts on it
+	is.Equal(w.countLive("n04"), 0) // unreachable, so no node may list it as live
 	is.True(!w.tables["n05"].Isolated())
-	for range 5 { // it hears over connections of its own what is said of it, and must not deny it
+	for range 5 { // it learns of the suspicion over its own connections, and must not refute it
 		w.tables["n04"].Merge(w.tables["n00"].All())
 		w.run(2 * clock.Second)
-		is.Equal(w.seenBy("n04"), 0)
+		is.Equal(w.countLive("n04"), 0)
 	}
 	clear(w.cut)
 	w.run(20 * clock.Second)
-	is.Equal(w.seenBy("n04"), 9)
+	is.Equal(w.countLive("n04"), 9)
 	is.True(!w.tables["n04"].Isolated())
 }
 
@@ -217,7 +217,7 @@
 	for range 60 {
 		w.run(clock.Second)
 		for _, name := range w.order {
-			missing += 43 - w.seenBy(name)
+			missing += 43 - w.countLive(name)
 		}
 	}
 	is.Equal(missing, 0)
@@ -235,33 +235,33 @@
 		}
 	}
 	w.run(60 * clock.Second)
-	is.Equal(w.seenBy(w.order[0]), 3)
-	is.Equal(w.seenBy(w.order[8]), 7)
+	is.Equal(w.countLive(w.order[0]), 3)
+	is.Equal(w.countLive(w.order[8]), 7)
 	clear(w.cut)
 	w.run(60 * clock.Second)
 	for _, name := range w.order {
-		is.Equal(w.seenBy(name), 11)
+		is.Equal(w.countLive(name), 11)
 	}
 }
 
-func TestLeavingIsToldAndByeEndsIt(t *testing.T) {
+func TestAnnounceLeavingAndGone(t *testing.T) {
 	is := is.New(t)
 	w := newNet(10, 9)
 	w.run(10 * clock.Second)
-	w.tables["n01"].Leave()
+	w.tables["n01"].AnnounceLeaving()
 	w.run(3 * clock.Second)
 	for _, m := range w.tables["n09"].Live() {
 		is.Equal(m.GetLeaving(), m.GetNode() == "n01")
 	}
-	w.send("n01", w.tables["n01"].Bye())
+	w.send("n01", w.tables["n01"].AnnounceGone())
 	w.tables["n01"] = nil
 	w.run(2 * clock.Second)
-	is.Equal(w.seenBy("n01"), 0)
+	is.Equal(w.countLive("n01"), 0)
 	is.Equal(member.ProcessOf(&tlv1.Member{Node: "a", Incarnation: 2}), ident.Process{Node: "a", Incarnation: 2})
 }
 
-// TestLiveShowsTheNewestWord has a member tell how busy it is, which moves no work, and end.
-func TestLiveShowsTheNewestWord(t *testing.T) {
+// TestLiveReturnsTheNewestRecord has a member report its load, which does not affect routing, and then leave.
+func TestLiveReturnsTheNewestRecord(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1_000_000)
 	table := member.New(&tlv1.Member{Node: "a", Incarnation: 1, GossipAddress: "a"}, member.DefaultTiming, c, rand.New(rand.NewPCG(1, 1)))
@@ -272,7 +272,7 @@
 	is.Equal(len(first), 1)
 	table.Merge([]*tlv1.Member{{Node: "b", Incarnation: 1, GossipAddress: "b", State: tlv1.NodeState_NODE_STATE_ALIVE, Rumor: 1, Busy: 8}})
 	is.Equal(table.Live()[0].GetBusy(), uint32(8))
-	is.Equal(first[0].GetBusy(), uint32(0)) // who holds a list is not disturbed
+	is.Equal(first[0].GetBusy(), uint32(0)) // a returned list never changes
 	table.Merge([]*tlv1.Member{{Node: "b", Incarnation: 1, GossipAddress: "b", State: tlv1.NodeState_NODE_STATE_GONE, Rumor: 2}})
 	is.Equal(len(table.Live()), 0)
 }
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -14,7 +14,7 @@
 	"github.com/tinladder/tinladder/stall"
 )
 
-// call reads an answer whose pieces come after the pauses, as a client would, and returns what it got.
+// call reads a response whose bytes are sent after the given pauses, and returns how many arrived.
 func call(l stall.Limits, pauses ...time.Duration) (got int, err error) {
 	ctx, g := stall.Watch(context.Background(), l)
 	defer g.Close()
@@ -28,44 +28,45 @@
 		_ = to.Close()
 	}()
 	raw, err := io.ReadAll(g.Body(from))
-	if int64(len(raw)) != g.Read() {
+	if int64(len(raw)) != g.BytesRead() {
 		return -1, err
 	}
 	return len(raw), err
 }
 
-func TestCallsEndBySilence(t *testing.T) {
+func TestStalledCallsEnd(t *testing.T) {
 	const short, long = 10 * time.Millisecond, 400 * time.Millisecond
-	limits := stall.Limits{First: 200 * time.Millisecond, Next: 100 * time.Millisecond, Most: 2 * time.Second}
+	limits := stall.Limits{FirstByte: 200 * time.Millisecond, Idle: 100 * time.Millisecond, Total: 2 * time.Second}
 	endless := make([]time.Duration, 1000)
 	for i := range endless {
 		endless[i] = short
 	}
 	cases := []struct {
-		name   string
-		pauses []time.Duration
-		want   error
-		least  int
+		name     string
+		pauses   []time.Duration
+		want     error
+		minBytes int
 	}{
-		{"at once", []time.Duration{short, short}, nil, 2},
-		{"longer than any pause may be, in pieces", endless[:50], nil, 50},
-		{"never begins", []time.Duration{long}, stall.ErrSilent, 0},
-		{"stops midway", []time.Duration{short, short, long}, stall.ErrSilent, 2},
-		{"does not end", endless, stall.ErrEndless, 20},
+		{"without a stall", []time.Duration{short, short}, nil, 2},
+		{"longer than the idle limit, steadily", endless[:50], nil, 50},
+		{"never begins", []time.Duration{long}, stall.ErrStalled, 0},
+		{"stops midway", []time.Duration{short, short, long}, stall.ErrStalled, 2},
+		{"exceeds the total limit", endless, stall.ErrTooLong, 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			got, err := call(limits, c.pauses...)
 			is.True(errors.Is(err, c.want) && (err == nil) == (c.want == nil))
-			is.True(got >= c.least)
+			is.True(got >= c.minBytes)
 		})
 	}
 }
 
-// TestOneLongChunkIsNoSilence reads an answer that comes as one chunk, in pieces at a steady pace. The library goes on
-// reading within a chunk until the reader's buffer is full, which takes the longer the more has come.
-func TestOneLongChunkIsNoSilence(t *testing.T) {
+// TestLongChunkIsNotAStall reads a response that is one chunk, sent piece by piece at a steady rate. The library
+// reads on within a chunk until the reader's buffer is full, and io.ReadAll grows that buffer, so an unlimited
+// read would exceed the idle limit.
+func TestLongChunkIsNotAStall(t *testing.T) {
 	is := is.New(t)
 	const piece, pieces, pause = 8 << 10, 96, 10 * time.Millisecond
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -82,7 +83,7 @@
 		_, _ = io.WriteString(c, "\r\n0\r\n\r\n")
 	}))
 	defer s.Close()
-	ctx, g := stall.Watch(context.Background(), stall.Limits{First: time.Second, Next: 100 * time.Millisecond, Most: 20 * time.Second})
+	ctx, g := stall.Watch(context.Background(), stall.Limits{FirstByte: time.Second, Idle: 100 * time.Millisecond, Total: 20 * time.Second})
 	defer g.Close()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL, nil)
 	is.NoErr(err)
