--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -22,12 +22,12 @@
 type Fingerprint [FingerprintBytes]byte
 
 // String returns the fingerprint in hexadecimal digits.
-func (p Fingerprint) String() string {
-	return hex.EncodeToString(p[:])
+func (fp Fingerprint) String() string {
+	return hex.EncodeToString(fp[:])
 }
 
 // ParseFingerprint returns the fingerprint that the digits name.
-func ParseFingerprint(s string) (p Fingerprint, err error) {
+func ParseFingerprint(s string) (fp Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != FingerprintBytes {
 		return Fingerprint{}, errors.Newf("%q is no fingerprint of a request: it has %d hexadecimal digits", s, 2*FingerprintBytes)
@@ -71,29 +71,29 @@
 // Fingerprints are a request's, by their scope.
 type Fingerprints [scopes]Fingerprint
 
-// usualText holds the text of a usual request, so that its fingerprints need no memory of their own.
-const usualText = 512
+// textBufferBytes holds the text of a usual request, so that its fingerprints need no memory of their own.
+const textBufferBytes = 512
 
 // FingerprintsOf returns the request's fingerprints. They differ from each other, so that one who asks without a query is known by
 // his path and by his request.
-func FingerprintsOf(r *Request) (p Fingerprints) {
+func FingerprintsOf(r *Request) (fps Fingerprints) {
 	body := sha256.Sum256(r.Body)
 	path, _, _ := strings.Cut(r.Target, "?")
-	p[ScopeCaller] = r.fingerprint(ScopeCaller, r.Caller, r.Target, &body)
-	p[ScopeRequest] = r.fingerprint(ScopeRequest, "", r.Target, &body)
-	p[ScopePath] = r.fingerprint(ScopePath, "", path, &body)
-	return p
+	fps[ScopeCaller] = r.fingerprint(ScopeCaller, r.Caller, r.Target, &body)
+	fps[ScopeRequest] = r.fingerprint(ScopeRequest, "", r.Target, &body)
+	fps[ScopePath] = r.fingerprint(ScopePath, "", path, &body)
+	return fps
 }
 
-func (r *Request) fingerprint(s Scope, caller, target string, body *[sha256.Size]byte) (p Fingerprint) {
-	var usual [usualText]byte
-	text := append(usual[:0], byte(s))
+func (r *Request) fingerprint(s Scope, caller, target string, body *[sha256.Size]byte) (fp Fingerprint) {
+	var buf [textBufferBytes]byte
+	text := append(buf[:0], byte(s))
 	for _, field := range [...]string{caller, r.Workspace, r.Method, r.Host, target} {
 		text = binary.LittleEndian.AppendUint32(text, uint32(len(field)))
 		text = append(text, field...)
 	}
 	text = binary.LittleEndian.AppendUint64(text, uint64(r.Length))
 	sum := sha256.Sum256(append(text, body[:]...))
-	copy(p[:], sum[:])
-	return p
+	copy(fp[:], sum[:])
+	return fp
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -7,18 +7,18 @@
 	"github.com/tinladder/tinladder/quarantine"
 )
 
-var page = quarantine.Request{
+var testRequest = quarantine.Request{
 	Caller: "10.0.0.1", Workspace: "shop", Method: "GET", Host: "example", Target: "/a/b?c", Body: []byte("body"), Length: 4,
 }
 
-// TestFingerprintsTellRequestsApart changes one thing at a time, and moves bytes from one field to the next. Each change is told
+// TestFingerprintsDistinguishRequests changes one thing at a time, and moves bytes from one field to the next. Each change is told
 // by the fingerprints whose scope is no wider than it.
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	is := is.New(t)
-	was := quarantine.FingerprintsOf(&page)
+	before := quarantine.FingerprintsOf(&testRequest)
 	for name, c := range map[string]struct {
-		change func(r *quarantine.Request)
-		told   int
+		mutate func(r *quarantine.Request)
+		differ int
 	}{
 		"caller":    {func(r *quarantine.Request) { r.Caller = "10.0.0.2" }, 1},
 		"query":     {func(r *quarantine.Request) { r.Target = "/a/b?d" }, 2},
@@ -33,41 +33,41 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := page
-			c.change(&r)
+			r := testRequest
+			c.mutate(&r)
 			for b, p := range quarantine.FingerprintsOf(&r) {
-				is.Equal(p != was[b], b < c.told)
+				is.Equal(p != before[b], b < c.differ)
 			}
 		})
 	}
-	is.True(was[quarantine.ScopeCaller] != was[quarantine.ScopeRequest])
-	page := page
-	page.Target = "/a/b"
-	was = quarantine.FingerprintsOf(&page)
-	is.True(was[quarantine.ScopeRequest] != was[quarantine.ScopePath]) // though there is no query
+	is.True(before[quarantine.ScopeCaller] != before[quarantine.ScopeRequest])
+	noQuery := testRequest
+	noQuery.Target = "/a/b"
+	before = quarantine.FingerprintsOf(&noQuery)
+	is.True(before[quarantine.ScopeRequest] != before[quarantine.ScopePath]) // though there is no query
 }
 
-func TestPrintIsParsed(t *testing.T) {
+func TestFingerprintIsParsed(t *testing.T) {
 	is := is.New(t)
-	p := quarantine.FingerprintsOf(&page)[0]
-	again, err := quarantine.ParseFingerprint(p.String())
+	fp := quarantine.FingerprintsOf(&testRequest)[0]
+	parsed, err := quarantine.ParseFingerprint(fp.String())
 	is.NoErr(err)
-	is.Equal(again, p)
-	for _, s := range []string{"", "00", p.String() + "00", "zz" + p.String()[2:]} {
+	is.Equal(parsed, fp)
+	for _, s := range []string{"", "00", fp.String() + "00", "zz" + fp.String()[2:]} {
 		_, err := quarantine.ParseFingerprint(s)
 		is.True(err != nil)
 	}
 }
 
-func TestPrintNeedsNoMemory(t *testing.T) {
+func TestFingerprintsDoNotAllocate(t *testing.T) {
 	is := is.New(t)
-	is.Equal(testing.AllocsPerRun(100, func() { _ = quarantine.FingerprintsOf(&page) }), 0.0)
+	is.Equal(testing.AllocsPerRun(100, func() { _ = quarantine.FingerprintsOf(&testRequest) }), 0.0)
 }
 
 // BenchmarkFingerprints is what a request costs while any request is under suspicion; while none is, none are made.
 func BenchmarkFingerprints(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = quarantine.FingerprintsOf(&page)
+		_ = quarantine.FingerprintsOf(&testRequest)
 	}
 }
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -14,16 +14,16 @@
 // What the fleet promises: once three targets have crashed under a request, and as long again as it takes for all to hear of
 // it, the request is sent three times more at most.
 const (
-	heardWithin = 3 * clock.Second
-	lateSends   = 3
+	propagationBound = 3 * clock.Second
+	maxLateSends     = 3
 )
 
 const (
-	step clock.Millis = 50
-	// crashTakes is how long a target runs the request until it crashes.
-	crashTakes clock.Millis = 100
-	// followTakes is how long a node takes to see a change in the store.
-	followTakes clock.Millis = 300
+	tick clock.Millis = 50
+	// crashDelay is how long a target runs the request until it crashes.
+	crashDelay clock.Millis = 100
+	// storeDelay is how long a node takes to see a change in the store.
+	storeDelay clock.Millis = 300
 )
 
 // modelFleet is nodes in virtual time that are cut from each other in groups, and share a store.
@@ -49,9 +49,9 @@
 }
 
 type modelNode struct {
-	list *quarantine.List
-	seen map[string]int
-	born clock.Millis
+	list      *quarantine.List
+	seen      map[string]int
+	startedAt clock.Millis
 }
 
 type modelSend struct {
@@ -70,7 +70,7 @@
 }
 
 func (f *modelFleet) newNode() *modelNode {
-	return &modelNode{list: quarantine.New(f.clock), seen: map[string]int{}, born: f.clock.Now()}
+	return &modelNode{list: quarantine.New(f.clock), seen: map[string]int{}, startedAt: f.clock.Now()}
 }
 
 // cut puts the nodes into new groups by chance.
@@ -81,22 +81,22 @@
 	}
 }
 
-// ask has the request come to a node.
-func (f *modelFleet) ask(i int) {
+// send has the request come to a node.
+func (f *modelFleet) send(i int) {
 	n := f.nodes[i]
-	v := n.list.Decide(pagePrint)
-	if v.Held && (!v.Due || !f.claim(n, v.Trials+1)) {
+	v := n.list.Decide(testFingerprint)
+	if v.Held && (!v.Due || !f.claimTrial(n, v.Trials+1)) {
 		return
 	}
-	if f.clock.Now()-n.born > heardWithin {
+	if f.clock.Now()-n.startedAt > propagationBound {
 		f.sends = append(f.sends, f.clock.Now())
 	}
 	f.inFlight = append(f.inFlight, modelSend{node: i, at: f.clock.Now()})
 }
 
-// claim has the store decide who makes a trial.
-func (f *modelFleet) claim(n *modelNode, trials int) bool {
-	if !n.list.Tried(pagePrint, trials) || quarantine.TrialsIn(f.row().row, pagePrint) >= trials {
+// claimTrial has the store decide who makes a trial.
+func (f *modelFleet) claimTrial(n *modelNode, trials int) bool {
+	if !n.list.Tried(testFingerprint, trials) || quarantine.TrialsIn(f.row().row, testFingerprint) >= trials {
 		return false
 	}
 	f.save(n)
@@ -104,20 +104,20 @@
 }
 
 func (f *modelFleet) row() modelRow {
-	return f.rows[quarantine.RowOf(pagePrint)]
+	return f.rows[quarantine.RowOf(testFingerprint)]
 }
 
 func (f *modelFleet) save(n *modelNode) {
 	was := f.row()
-	f.rows[quarantine.RowOf(pagePrint)] = modelRow{row: n.list.Row(pagePrint, was.row), version: was.version + 1, at: f.clock.Now()}
-	n.list.Wrote(pagePrint)
+	f.rows[quarantine.RowOf(testFingerprint)] = modelRow{row: n.list.Row(testFingerprint, was.row), version: was.version + 1, at: f.clock.Now()}
+	n.list.Wrote(testFingerprint)
 }
 
-// move lets targets crash, word go round and nodes follow the store.
-func (f *modelFleet) move() {
+// step lets targets crash, word go round and nodes follow the store.
+func (f *modelFleet) step() {
 	now := f.clock.Now()
 	f.inFlight = slices.DeleteFunc(f.inFlight, func(s modelSend) bool {
-		if now-s.at < crashTakes {
+		if now-s.at < crashDelay {
 			return false
 		}
 		f.crash(s)
@@ -125,10 +125,10 @@
 	})
 	for _, n := range f.nodes {
 		for key, r := range f.rows {
-			if n.seen[key] < r.version && now-r.at >= followTakes {
+			if n.seen[key] < r.version && now-r.at >= storeDelay {
 				n.seen[key] = r.version
-				if n.list.Take(key, r.row)[pagePrint] == quarantine.Quarantined {
-					n.list.MarkDirty(pagePrint)
+				if n.list.Take(key, r.row)[testFingerprint] == quarantine.Quarantined {
+					n.list.MarkDirty(testFingerprint)
 				}
 			}
 		}
@@ -143,10 +143,10 @@
 	i := s.node
 	f.crashes = append(f.crashes, f.clock.Now())
 	n := f.nodes[i]
-	one := crash(f.clock, fmt.Sprint("t", len(f.crashes)))
-	one.Crashes[0].From = s.at
-	n.list.Crashed(one)
-	known, _, _ := n.list.Known(pagePrint)
+	report := crashReport(f.clock, fmt.Sprint("t", len(f.crashes)))
+	report.Crashes[0].From = s.at
+	n.list.Crashed(report)
+	known, _, _ := n.list.Known(testFingerprint)
 	alone := true
 	for j, other := range f.nodes {
 		if j == i || f.groups[j] != f.groups[i] {
@@ -159,17 +159,17 @@
 		}
 	}
 	if known.Recurring() || alone {
-		n.list.MarkDirty(pagePrint)
+		n.list.MarkDirty(testFingerprint)
 	}
 }
 
-// late counts the sends that came too late.
-func (f *modelFleet) late() (count int) {
+// countLateSends counts the sends that came too countLateSends.
+func (f *modelFleet) countLateSends() (count int) {
 	if len(f.crashes) < crashThreshold {
 		return 0
 	}
 	for _, at := range f.sends {
-		if at-f.crashes[crashThreshold-1] > heardWithin {
+		if at-f.crashes[crashThreshold-1] > propagationBound {
 			count++
 		}
 	}
@@ -179,29 +179,29 @@
 // TestRequestThatCrashesTargetsIsHeldByAll sends a request that crashes each target that runs it, for 100 s, to nodes that
 // are cut from each other in changing groups, restart knowing nothing, and lose datagrams; the store is in reach of all.
 func TestRequestThatCrashesTargetsIsHeldByAll(t *testing.T) {
-	most := 0
+	mostCrashes := 0
 	for seed := range uint64(400) {
 		f := newModelFleet(t, seed, 2+int(seed%9))
-		pace := 1 + f.rand.IntN(60)
+		interval := 1 + f.rand.IntN(60)
 		for i := range 2000 {
-			f.clock.Advance(step)
+			f.clock.Advance(tick)
 			if f.rand.IntN(40) == 0 {
 				f.cut()
 			}
 			if f.rand.IntN(100) == 0 {
 				f.nodes[f.rand.IntN(len(f.nodes))] = f.newNode()
 			}
-			if i%pace == 0 {
+			if i%interval == 0 {
 				for range 1 + f.rand.IntN(3) { // at several nodes at once
-					f.ask(f.rand.IntN(len(f.nodes)))
+					f.send(f.rand.IntN(len(f.nodes)))
 				}
 			}
-			f.move()
+			f.step()
 		}
-		if late := f.late(); late > lateSends {
+		if late := f.countLateSends(); late > maxLateSends {
 			t.Errorf("seed %d, %d nodes: sent %d times more; crashes at %v", seed, len(f.nodes), late, f.crashes)
 		}
-		most = max(most, len(f.crashes))
+		mostCrashes = max(mostCrashes, len(f.crashes))
 	}
-	t.Logf("most crashes of one request: %d", most)
+	t.Logf("most crashes of one request: %d", mostCrashes)
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -17,22 +17,22 @@
 	// singleAttemptThreshold is from how many sequential crashes on a request gets a single attempt: of those that were in
 	// flight by chance as one target crashed, nearly all are not in flight a second time.
 	singleAttemptThreshold = 2
-	// forgetAfter is how long crashes are remembered that were not enough: a request that comes more seldom ends few
+	// crashTTL is how long crashes are remembered that were not enough: a request that comes more seldom ends few
 	// targets.
-	forgetAfter = 10 * clock.Minute
-	// clearedFor is how long it is remembered that a request was cleared, so that older reports of crashes are known as such.
-	clearedFor = 1 * clock.Minute
+	crashTTL = 10 * clock.Minute
+	// clearedTTL is how long it is remembered that a request was cleared, so that older reports of crashes are known as such.
+	clearedTTL = 1 * clock.Minute
 	// maxEntries bounds the requests that are remembered, and maxCrashes the targets named with each.
 	maxEntries = 4096
 	maxCrashes = 6
-	// sameWithin is how far apart two reports of one crash may be: less than a target needs to start again.
-	sameWithin clock.Millis = 400
+	// sameCrashWindow is how far apart two reports of one crash may be: less than a target needs to start again.
+	sameCrashWindow clock.Millis = 400
 )
 
-// trialWaits are the times until a request that is held back is let through once more, by how often it was. The first is
+// trialDelays are the times until a request that is held back is let through once more, by how often it was. The first is
 // short: a request that was in flight by chance as many targets ended at once is free again before its caller gives up. The
 // others grow, for a request that still crashes its target each time; a new version of the target may cure it.
-var trialWaits = [...]clock.Millis{2 * clock.Second, 20 * clock.Second, 2 * clock.Minute, 20 * clock.Minute, 60 * clock.Minute}
+var trialDelays = [...]clock.Millis{2 * clock.Second, 20 * clock.Second, 2 * clock.Minute, 20 * clock.Minute, 60 * clock.Minute}
 
 // A Crash struct is one target that crashed while it ran the request.
 type Crash struct {
@@ -43,13 +43,13 @@
 	AtIsUpperBound bool
 }
 
-// same says whether two reports may be of one crash: several requests are lost by it, and several nodes see it.
-func (c Crash) same(x Crash) bool {
-	if c.Target != x.Target {
+// matches says whether two reports may be of one crash: several requests are lost by it, and several nodes see it.
+func (c Crash) matches(other Crash) bool {
+	if c.Target != other.Target {
 		return false
 	}
-	apart := x.At - c.At
-	return max(apart, -apart) < sameWithin || c.AtIsUpperBound && apart <= 0 || x.AtIsUpperBound && apart >= 0
+	diff := other.At - c.At
+	return max(diff, -diff) < sameCrashWindow || c.AtIsUpperBound && diff <= 0 || other.AtIsUpperBound && diff >= 0
 }
 
 // A Case struct is all that is known of one request under which targets crashed.
@@ -109,11 +109,11 @@
 }
 
 // StricterThan says whether a request is restricted more by this verdict than by the other.
-func (v Verdict) StricterThan(than Verdict) bool {
-	if v.Held != than.Held {
+func (v Verdict) StricterThan(other Verdict) bool {
+	if v.Held != other.Held {
 		return v.Held
 	}
-	return cmp.Or(cmp.Compare(v.RetryAfter, than.RetryAfter), cmp.Compare(v.Crashes, than.Crashes)) > 0
+	return cmp.Or(cmp.Compare(v.RetryAfter, other.RetryAfter), cmp.Compare(v.Crashes, other.Crashes)) > 0
 }
 
 // SingleAttempt says whether the request is sent to one target only.
@@ -172,28 +172,28 @@
 }
 
 // Decide says how a request is to be treated that is about to be sent.
-func (l *List) Decide(p Fingerprint) (v Verdict) {
+func (l *List) Decide(fp Fingerprint) (v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil {
 		return v
 	}
 	v = Verdict{Crashes: len(e.Crashes), SequentialCrashes: e.sequentialCrashes(), Held: e.Held(), Trials: e.Trials}
 	if v.Held {
-		v.RetryAfter = max(e.since+v.wait()-l.clock.Now(), 0)
+		v.RetryAfter = max(e.since+v.trialDelay()-l.clock.Now(), 0)
 		v.Due = v.RetryAfter == 0
 	}
 	return v
 }
 
-// wait is how long a request that is held back is not tried. Where its targets crashed at once, they may have for another
+// trialDelay is how long a request that is held back is not tried. Where its targets crashed at once, they may have for another
 // reason, and the first trial is due now.
-func (v Verdict) wait() clock.Millis {
+func (v Verdict) trialDelay() clock.Millis {
 	if v.Trials == 0 && v.SequentialCrashes < crashThreshold {
 		return 0
 	}
-	return trialWaits[min(v.Trials, len(trialWaits)-1)]
+	return trialDelays[min(v.Trials, len(trialDelays)-1)]
 }
 
 // Crashed takes in that targets crashed while they ran the request, as seen here or told by another node.
@@ -201,18 +201,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(&c)
-	held := e.Held()
-	more := e.add(c.Crashes)
+	wasHeld := e.Held()
+	added := e.add(c.Crashes)
 	now := l.clock.Now()
 	if e.Trials < c.Trials {
 		e.Trials, e.since = c.Trials, now
 	}
-	if !more {
+	if !added {
 		return Unchanged
 	}
 	e.since = now
 	switch {
-	case held:
+	case wasHeld:
 		return CrashedAgain
 	case e.Held():
 		return Quarantined
@@ -221,30 +221,30 @@
 }
 
 // add notes the crashes that are new, and says whether there are any. Two in one report are two, also of one target.
-func (e *entry) add(list []Crash) (more bool) {
-	known := slices.Clone(e.Crashes)
+func (e *entry) add(list []Crash) (added bool) {
+	unmatched := slices.Clone(e.Crashes)
 	for _, c := range list {
 		if e.clearedAt > 0 && c.At <= e.clearedAt || c.AtIsUpperBound && e.Held() {
 			continue
 		}
-		if i := slices.IndexFunc(known, c.same); i >= 0 {
-			known = slices.Delete(known, i, i+1)
+		if i := slices.IndexFunc(unmatched, c.matches); i >= 0 {
+			unmatched = slices.Delete(unmatched, i, i+1)
 			continue
 		}
-		more = true
+		added = true
 		if len(e.Crashes) == maxCrashes {
 			e.Crashes = slices.Delete(e.Crashes, 0, 1)
 		}
 		e.Crashes = append(e.Crashes, c)
 	}
-	return more
+	return added
 }
 
 // entry returns the request's entry, making it if there is none.
 func (l *List) entry(c *Case) *entry {
 	e := l.entries[c.Fingerprint]
 	if e == nil {
-		l.makeRoom()
+		l.evictIfFull()
 		e = &entry{Case: Case{Fingerprint: c.Fingerprint, Scope: c.Scope}}
 		l.entries[c.Fingerprint] = e
 		l.size.Store(int32(len(l.entries)))
@@ -253,16 +253,16 @@
 	return e
 }
 
-// makeRoom drops the entry that matters least if there are too many: one that is not held back before one that is, and
+// evictIfFull drops the entry that matters least if there are too many: one that is not held back before one that is, and
 // the oldest of them.
-func (l *List) makeRoom() {
+func (l *List) evictIfFull() {
 	if len(l.entries) < maxEntries {
 		return
 	}
-	least := slices.MinFunc(slices.Collect(maps.Values(l.entries)), func(a, b *entry) int {
+	victim := slices.MinFunc(slices.Collect(maps.Values(l.entries)), func(a, b *entry) int {
 		return cmp.Or(compareBool(a.Held(), b.Held()), cmp.Compare(a.since, b.since))
 	})
-	l.drop(least.Fingerprint)
+	l.drop(victim.Fingerprint)
 }
 
 func compareBool(a, b bool) int {
@@ -275,17 +275,17 @@
 	return 1
 }
 
-func (l *List) drop(p Fingerprint) {
-	delete(l.entries, p)
+func (l *List) drop(fp Fingerprint) {
+	delete(l.entries, fp)
 	l.size.Store(int32(len(l.entries)))
 }
 
 // Tried notes that the request is let through once more. It says whether that is so by what is known here: another node
 // may have let it through just now.
-func (l *List) Tried(p Fingerprint, trials int) bool {
+func (l *List) Tried(fp Fingerprint, trials int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || !e.Held() || e.Trials >= trials {
 		return false
 	}
@@ -295,10 +295,10 @@
 
 // Clear drops the crash reports of a request: a target has answered it well, which a request that crashes its targets
 // never sees, or an operator says so. It returns what was known, and whether there was anything.
-func (l *List) Clear(p Fingerprint) (was Case, found bool) {
+func (l *List) Clear(fp Fingerprint) (was Case, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
 		return Case{}, false
 	}
@@ -312,17 +312,17 @@
 }
 
 // Known returns what is known of the request.
-func (l *List) Known(p Fingerprint) (c Case, since clock.Millis, found bool) {
+func (l *List) Known(fp Fingerprint) (c Case, since clock.Millis, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
 		return Case{}, 0, false
 	}
-	return e.copied(), e.since, true
+	return e.clone(), e.since, true
 }
 
-func (e *entry) copied() Case {
+func (e *entry) clone() Case {
 	c := e.Case
 	c.Crashes = slices.Clone(c.Crashes)
 	return c
@@ -334,7 +334,7 @@
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
 		if len(e.Crashes) > 0 {
-			list = append(list, e.copied())
+			list = append(list, e.clone())
 		}
 	}
 	slices.SortFunc(list, func(a, b Case) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
@@ -350,13 +350,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	for p, e := range l.entries {
+	for fp, e := range l.entries {
 		age := now - e.since
 		if e.dirty || e.Held() {
 			continue
 		}
-		if age > forgetAfter || len(e.Crashes) == 0 && age > clearedFor {
-			l.drop(p)
+		if age > crashTTL || len(e.Crashes) == 0 && age > clearedTTL {
+			l.drop(fp)
 		}
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -14,21 +14,21 @@
 // crashThreshold is how many targets crash under a request until it is quarantined.
 const crashThreshold = 3
 
-var pagePrint = quarantine.FingerprintsOf(&page)[quarantine.ScopeRequest]
+var testFingerprint = quarantine.FingerprintsOf(&testRequest)[quarantine.ScopeRequest]
 
-// crash is word of one crash that was just seen.
-func crash(c clock.Clock, target string) quarantine.Case {
+// crashReport is word of one crashReport that was just seen.
+func crashReport(c clock.Clock, target string) quarantine.Case {
 	return quarantine.Case{
-		Fingerprint: pagePrint, Service: "desk", What: "GET example/a/b",
+		Fingerprint: testFingerprint, Service: "desk", What: "GET example/a/b",
 		Crashes: []quarantine.Crash{{Target: ident.Target(target), From: c.Now(), At: c.Now()}},
 	}
 }
 
-// held returns a list that holds the page back.
-func held(c clock.Clock) *quarantine.List {
+// newHeldList returns a list that holds the page back.
+func newHeldList(c clock.Clock) *quarantine.List {
 	l := quarantine.New(c)
 	for i := range crashThreshold {
-		l.Crashed(crash(c, fmt.Sprint("t", i)))
+		l.Crashed(crashReport(c, fmt.Sprint("t", i)))
 	}
 	return l
 }
@@ -38,14 +38,14 @@
 	c := clock.NewManual(1000)
 	l := quarantine.New(c)
 	is.True(l.Empty())
-	is.Equal(l.Crashed(crash(c, "a")), quarantine.Suspected)
-	is.Equal(l.Crashed(crash(c, "a")), quarantine.Unchanged) // another request was lost by the same crash
-	is.True(!l.Decide(pagePrint).SingleAttempt())            // one that was in flight by chance may be tried again
-	is.Equal(l.Crashed(crash(c, "b")), quarantine.Suspected)
-	is.True(l.Decide(pagePrint).SingleAttempt())
-	is.True(!l.Decide(pagePrint).Held)
-	is.Equal(l.Crashed(crash(c, "c")), quarantine.Quarantined)
-	v := l.Decide(pagePrint)
+	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected)
+	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Unchanged) // another request was lost by the same crash
+	is.True(!l.Decide(testFingerprint).SingleAttempt())            // one that was in flight by chance may be tried again
+	is.Equal(l.Crashed(crashReport(c, "b")), quarantine.Suspected)
+	is.True(l.Decide(testFingerprint).SingleAttempt())
+	is.True(!l.Decide(testFingerprint).Held)
+	is.Equal(l.Crashed(crashReport(c, "c")), quarantine.Quarantined)
+	v := l.Decide(testFingerprint)
 	is.True(v.Held && !v.Due)
 	is.True(v.RetryAfter > 0)
 	is.Equal(l.Decide(quarantine.Fingerprint{}), quarantine.Verdict{}) // others are as before
@@ -57,67 +57,67 @@
 	c := clock.NewManual(1000)
 	l := quarantine.New(c)
 	for range crashThreshold {
-		l.Crashed(crash(c, "a"))
+		l.Crashed(crashReport(c, "a"))
 		c.Advance(2 * clock.Second)
 	}
-	is.True(l.Decide(pagePrint).Held)
+	is.True(l.Decide(testFingerprint).Held)
 }
 
-// TestTargetsThatEndTogether has a request that many send at work on five targets that lose power at once: it is tried at
+// TestTargetsThatCrashTogether has a request that many send at work on five targets that lose power at once: it is tried at
 // once, by one of the fleet, and what was lost with a target may be tried elsewhere. One that crashes its next target too is
 // held back for longer.
-func TestTargetsThatEndTogether(t *testing.T) {
+func TestTargetsThatCrashTogether(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(10_000)
 	l := quarantine.New(c)
 	for i := range 5 {
-		one := crash(c, fmt.Sprint("t", i))
-		one.Crashes[0].From -= clock.Millis(10 + i)
-		one.Crashes[0].At += clock.Millis(i % 2)
-		l.Crashed(one)
+		report := crashReport(c, fmt.Sprint("t", i))
+		report.Crashes[0].From -= clock.Millis(10 + i)
+		report.Crashes[0].At += clock.Millis(i % 2)
+		l.Crashed(report)
 	}
-	v := l.Decide(pagePrint)
+	v := l.Decide(testFingerprint)
 	is.Equal(v.SequentialCrashes, 1)
 	is.True(v.Held && v.Due && !v.SingleAttempt())
 	c.Advance(100)
-	is.True(l.Tried(pagePrint, 1))
-	one := crash(c, "later")
+	is.True(l.Tried(testFingerprint, 1))
+	one := crashReport(c, "later")
 	one.Crashes[0].From -= 90
 	is.Equal(l.Crashed(one), quarantine.CrashedAgain)
-	v = l.Decide(pagePrint)
+	v = l.Decide(testFingerprint)
 	is.True(!v.Due && v.SingleAttempt())
 }
 
 func TestAGoodAnswerClears(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
-	old := crash(c, "t2")
+	l := newHeldList(c)
+	old := crashReport(c, "t2")
 	c.Advance(10)
-	was, found := l.Clear(pagePrint)
+	was, found := l.Clear(testFingerprint)
 	is.True(found)
 	is.Equal(len(was.Crashes), crashThreshold)
-	is.Equal(l.Decide(pagePrint), quarantine.Verdict{})
+	is.Equal(l.Decide(testFingerprint), quarantine.Verdict{})
 	is.Equal(l.Crashed(old), quarantine.Unchanged) // word that is older than the good answer
-	_, found = l.Clear(pagePrint)
+	_, found = l.Clear(testFingerprint)
 	is.True(!found)
 	c.Advance(1)
-	is.Equal(l.Crashed(crash(c, "a")), quarantine.Suspected) // it begins anew
+	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected) // it begins anew
 }
 
-// TestTrialsGrowApart counts the trials of an hour and a half in which the request crashes its target each time.
-func TestTrialsGrowApart(t *testing.T) {
+// TestTrialDelaysGrow counts the trials of an hour and a half in which the request crashes its target each time.
+func TestTrialDelaysGrow(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
+	l := newHeldList(c)
 	var at []clock.Millis
 	began := c.Now()
 	for c.Now()-began < 90*clock.Minute {
-		if v := l.Decide(pagePrint); v.Due {
-			is.True(l.Tried(pagePrint, v.Trials+1))
-			is.True(!l.Tried(pagePrint, v.Trials+1)) // a second request at the same time
+		if v := l.Decide(testFingerprint); v.Due {
+			is.True(l.Tried(testFingerprint, v.Trials+1))
+			is.True(!l.Tried(testFingerprint, v.Trials+1)) // a second request at the same time
 			at = append(at, c.Now()-began)
-			is.Equal(l.Crashed(crash(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
+			is.Equal(l.Crashed(crashReport(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
 		}
 		c.Advance(100)
 	}
@@ -131,14 +131,14 @@
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
+	l := newHeldList(c)
 	for i := range 10_000 {
-		one := crash(c, "t")
-		one.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
-		l.Crashed(one)
+		report := crashReport(c, "t")
+		report.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
+		l.Crashed(report)
 	}
 	is.True(len(l.All()) <= 4096)
-	is.True(l.Decide(pagePrint).Held)
+	is.True(l.Decide(testFingerprint).Held)
 	c.Advance(11 * clock.Minute)
 	l.Forget()
 	is.Equal(len(l.All()), 1)
@@ -148,67 +148,67 @@
 func TestRowsBringANodeUpToDate(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	here, there := held(c), quarantine.New(c)
-	is.True(here.MarkDirty(pagePrint))
-	is.Equal(here.Dirty(), []quarantine.Fingerprint{pagePrint})
-	row := here.Row(pagePrint, nil)
-	here.Wrote(pagePrint)
+	here, there := newHeldList(c), quarantine.New(c)
+	is.True(here.MarkDirty(testFingerprint))
+	is.Equal(here.Dirty(), []quarantine.Fingerprint{testFingerprint})
+	row := here.Row(testFingerprint, nil)
+	here.Wrote(testFingerprint)
 	is.Equal(len(here.Dirty()), 0)
-	key := quarantine.RowOf(pagePrint)
-	is.Equal(there.Take(key, row)[pagePrint], quarantine.Quarantined)
-	is.Equal(there.Take(key, row)[pagePrint], quarantine.Unchanged)
-	is.Equal(here.Take(key, row)[pagePrint], quarantine.Unchanged)
+	key := quarantine.RowOf(testFingerprint)
+	is.Equal(there.Take(key, row)[testFingerprint], quarantine.Quarantined)
+	is.Equal(there.Take(key, row)[testFingerprint], quarantine.Unchanged)
+	is.Equal(here.Take(key, row)[testFingerprint], quarantine.Unchanged)
 
-	is.Equal(there.Crashed(crash(c, "t0")), quarantine.Unchanged) // late word of what the row names
+	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.Unchanged) // late word of what the row names
 	c.Advance(5 * clock.Second)
-	is.Equal(there.Crashed(crash(c, "t0")), quarantine.CrashedAgain) // it started again, and crashed again
+	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.CrashedAgain) // it started again, and crashed again
 
-	there.Clear(pagePrint)
-	is.True(there.MarkDirty(pagePrint))
+	there.Clear(testFingerprint)
+	is.True(there.MarkDirty(testFingerprint))
 	there.Take(key, row) // older than what is known here
-	is.True(!there.Decide(pagePrint).Held)
-	row = there.Row(pagePrint, row)
+	is.True(!there.Decide(testFingerprint).Held)
+	row = there.Row(testFingerprint, row)
 	is.Equal(len(row.GetSuspects()), 0)
 	here.Take(key, row)
-	is.True(!here.Decide(pagePrint).Held)
+	is.True(!here.Decide(testFingerprint).Held)
 }
 
-// TestRowsAddUp has two nodes that hear nothing of each other write what each has seen.
-func TestRowsAddUp(t *testing.T) {
+// TestRowsMerge has two nodes that hear nothing of each other write what each has seen.
+func TestRowsMerge(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	here, there := quarantine.New(c), quarantine.New(c)
-	here.Crashed(crash(c, "a"))
-	here.Crashed(crash(c, "b"))
-	there.Crashed(crash(c, "c"))
-	key := quarantine.RowOf(pagePrint)
-	is.Equal(there.Take(key, here.Row(pagePrint, nil))[pagePrint], quarantine.Quarantined)
-	is.True(there.MarkDirty(pagePrint))
-	is.Equal(here.Take(key, there.Row(pagePrint, nil))[pagePrint], quarantine.Quarantined)
+	here.Crashed(crashReport(c, "a"))
+	here.Crashed(crashReport(c, "b"))
+	there.Crashed(crashReport(c, "c"))
+	key := quarantine.RowOf(testFingerprint)
+	is.Equal(there.Take(key, here.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
+	is.True(there.MarkDirty(testFingerprint))
+	is.Equal(here.Take(key, there.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
 }
 
 // TestAFullRowClearsNothing pushes requests out of a row: those that are missing from it were not cleared.
 func TestAFullRowClearsNothing(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
-	row := l.Row(pagePrint, nil)
-	l.Wrote(pagePrint)
+	l := newHeldList(c)
+	row := l.Row(testFingerprint, nil)
+	l.Wrote(testFingerprint)
 	for i := range 8 {
-		other := crash(c, "t")
-		other.Fingerprint = pagePrint
+		other := crashReport(c, "t")
+		other.Fingerprint = testFingerprint
 		other.Fingerprint[15] = byte(i)
 		other.Fingerprint[14]++
 		l.Crashed(other)
 		row = l.Row(other.Fingerprint, row)
 	}
 	is.Equal(len(row.GetSuspects()), 8)
-	l.Take(quarantine.RowOf(pagePrint), row)
-	is.True(l.Decide(pagePrint).Held)
+	l.Take(quarantine.RowOf(testFingerprint), row)
+	is.True(l.Decide(testFingerprint).Held)
 }
 
-// TestWireRefusesWhatNamesNoRequest hands in fingerprints of other sizes.
-func TestWireRefusesWhatNamesNoRequest(t *testing.T) {
+// TestFromWireRejectsWrongFingerprintSizes hands in fingerprints of other sizes.
+func TestFromWireRejectsWrongFingerprintSizes(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{0, 1, 15, 17} {
 		_, ok := quarantine.FromWire(&tlv1.Suspect{Print: make([]byte, n)}, 0)
@@ -219,15 +219,15 @@
 // BenchmarkDecide is what a request costs besides its fingerprint, while 1,000 requests are under suspicion.
 func BenchmarkDecide(b *testing.B) {
 	c := clock.NewManual(1000)
-	l := held(c)
+	l := newHeldList(c)
 	for i := range 1000 {
-		one := crash(c, "t")
-		one.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
-		l.Crashed(one)
+		report := crashReport(c, "t")
+		report.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
+		l.Crashed(report)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Decide(pagePrint)
+		l.Decide(testFingerprint)
 	}
 }
 
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// rowCount is how many rows of the store the requests are spread over, and perRow the most in one: the store holds
+	// rowCount is how many rows of the store the requests are spread over, and maxPerRow the most in one: the store holds
 	// no more, however many there come to be.
-	rowCount = 64
-	perRow   = 8
+	rowCount  = 64
+	maxPerRow = 8
 )
 
 // RowOf names the store's row that a request is kept in.
-func RowOf(p Fingerprint) string {
-	return fmt.Sprintf("%02x", p[0]%rowCount)
+func RowOf(fp Fingerprint) string {
+	return fmt.Sprintf("%02x", fp[0]%rowCount)
 }
 
 // MarkDirty notes that this node has to write the request to the store: it saw the last crash under it, or that it was
 // cleared. It says whether there is anything that the store lacks.
-func (l *List) MarkDirty(p Fingerprint) bool {
+func (l *List) MarkDirty(fp Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 && !e.stored {
 		return false
 	}
@@ -41,9 +41,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p, e := range l.entries {
+	for fp, e := range l.entries {
 		if e.dirty {
-			list = append(list, p)
+			list = append(list, fp)
 		}
 	}
 	slices.SortFunc(list, func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
@@ -52,33 +52,33 @@
 
 // Row returns the row as it should be, given how it stands in the store: with this request as it is known there and
 // here, and the others as they are. It keeps the latest if there are too many.
-func (l *List) Row(p Fingerprint, row *tlv1.Suspects) *tlv1.Suspects {
+func (l *List) Row(fp Fingerprint, row *tlv1.Suspects) *tlv1.Suspects {
 	next := &tlv1.Suspects{}
 	for _, s := range row.GetSuspects() {
-		if string(s.GetPrint()) != string(p[:]) {
+		if string(s.GetPrint()) != string(fp[:]) {
 			next.Suspects = append(next.Suspects, s)
 			continue
 		}
 		// A node that has just started knows less than the row, and must not take anything back.
-		if c, ok := FromWire(s, l.clock.Now()); ok && !l.overtaken(c) {
+		if c, ok := FromWire(s, l.clock.Now()); ok && !l.clearPending(c) {
 			l.Crashed(c)
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[p]; e != nil && len(e.Crashes) > 0 {
-		next.Suspects = append(next.Suspects, ToWire(e.Case, never))
+	if e := l.entries[fp]; e != nil && len(e.Crashes) > 0 {
+		next.Suspects = append(next.Suspects, ToWire(e.Case, ageUnknown))
 	}
-	if over := len(next.GetSuspects()) - perRow; over > 0 {
-		next.Suspects = next.GetSuspects()[over:]
+	if excess := len(next.GetSuspects()) - maxPerRow; excess > 0 {
+		next.Suspects = next.GetSuspects()[excess:]
 	}
 	return next
 }
 
 // TrialsIn returns how often the request was let through, by the row.
-func TrialsIn(row *tlv1.Suspects, p Fingerprint) int {
+func TrialsIn(row *tlv1.Suspects, fp Fingerprint) int {
 	for _, s := range row.GetSuspects() {
-		if string(s.GetPrint()) == string(p[:]) {
+		if string(s.GetPrint()) == string(fp[:]) {
 			return int(s.GetTrials())
 		}
 	}
@@ -86,20 +86,20 @@
 }
 
 // Wrote notes that the store has the row as it was written with this request.
-func (l *List) Wrote(p Fingerprint) {
+func (l *List) Wrote(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[p]; e != nil {
+	if e := l.entries[fp]; e != nil {
 		e.stored, e.dirty = len(e.Crashes) > 0, false
 	}
 }
 
 // Unstorable notes that the store does not take the row as it would be written with this request: it is not written again
 // until more is known of the request.
-func (l *List) Unstorable(p Fingerprint) {
+func (l *List) Unstorable(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[p]; e != nil {
+	if e := l.entries[fp]; e != nil {
 		e.dirty = false
 	}
 }
@@ -107,35 +107,35 @@
 // Take takes in a row of the store: what it names, and that what it no longer names is cleared. It returns what changed.
 func (l *List) Take(key string, row *tlv1.Suspects) (changes map[Fingerprint]Change) {
 	changes = map[Fingerprint]Change{}
-	named := map[Fingerprint]bool{}
+	present := map[Fingerprint]bool{}
 	now := l.clock.Now()
 	for _, s := range row.GetSuspects() {
 		c, ok := FromWire(s, now)
 		if !ok || RowOf(c.Fingerprint) != key {
 			continue
 		}
-		named[c.Fingerprint] = true
-		if !l.overtaken(c) {
+		present[c.Fingerprint] = true
+		if !l.clearPending(c) {
 			changes[c.Fingerprint] = l.Crashed(c)
-			l.stored(c)
+			l.noteStored(c)
 		}
 	}
-	if len(row.GetSuspects()) < perRow { // from a full one it may have been pushed out
-		l.dropped(key, named)
+	if len(row.GetSuspects()) < maxPerRow { // from a full one it may have been pushed out
+		l.clearMissing(key, present)
 	}
 	return changes
 }
 
-// overtaken says whether the request was cleared here, and the store is still to learn of that.
-func (l *List) overtaken(c Case) bool {
+// clearPending says whether the request was cleared here, and the store is still to learn of that.
+func (l *List) clearPending(c Case) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[c.Fingerprint]
 	return e != nil && e.dirty && len(e.Crashes) == 0
 }
 
-// stored notes that the store names the request with these crashes.
-func (l *List) stored(c Case) {
+// noteStored notes that the store names the request with these crashes.
+func (l *List) noteStored(c Case) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(&c)
@@ -143,27 +143,27 @@
 	e.dirty = e.dirty && (len(e.Crashes) > len(c.Crashes) || e.Trials > c.Trials)
 }
 
-// dropped clears the requests of a row that the store no longer names.
-func (l *List) dropped(key string, named map[Fingerprint]bool) {
+// clearMissing clears the requests of a row that the store no longer names.
+func (l *List) clearMissing(key string, present map[Fingerprint]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p, e := range l.entries {
-		if e.stored && !named[p] && RowOf(p) == key {
+	for fp, e := range l.entries {
+		if e.stored && !present[fp] && RowOf(fp) == key {
 			e.clear(l.clock.Now())
 			e.stored, e.dirty = false, false
 		}
 	}
 }
 
-// never stands for an age that is not told.
-const never clock.Millis = -1
+// ageUnknown stands for an age that is not told.
+const ageUnknown clock.Millis = -1
 
 // ToWire returns the case as other nodes are told of it now, or with never as the store keeps it.
 func ToWire(c Case, now clock.Millis) *tlv1.Suspect {
 	s := &tlv1.Suspect{Print: c.Fingerprint[:], Service: c.Service, What: c.What, Trials: uint32(c.Trials), Breadth: uint32(c.Scope)}
 	for _, x := range c.Crashes {
-		crash := &tlv1.Crash{Target: string(x.Target), AgeMs: int64(never)}
-		if now != never && !x.AtIsUpperBound {
+		crash := &tlv1.Crash{Target: string(x.Target), AgeMs: int64(ageUnknown)}
+		if now != ageUnknown && !x.AtIsUpperBound {
 			crash.AgeMs, crash.RanMs = int64(max(now-x.At, 0)), int64(x.At-x.From)
 		}
 		s.Crashes = append(s.Crashes, crash)
