--- a/config/document.go
+++ b/config/document.go
@@ -13,15 +13,15 @@
 
 // Limits of a document.
 const (
-	MaxTargets  = 2000
-	MaxRoutes   = 500
-	MaxSlots    = 1 << 16
-	MaxDeadline = 10 * 60 * 1000
-	MaxRetries  = 5
-	MaxNodes    = 64
-	MaxQueue    = 1 << 16
-	MaxTokens   = 16
-	hashLen     = 32
+	MaxTargets     = 2000
+	MaxRoutes      = 500
+	MaxSlots       = 1 << 16
+	MaxDeadline    = 10 * 60 * 1000
+	MaxRetries     = 5
+	MaxNodes       = 64
+	MaxQueue       = 1 << 16
+	MaxTokens      = 16
+	tokenHashBytes = 32
 )
 
 // Defaults for what a document leaves out.
@@ -92,8 +92,8 @@
 		return errors.Newf("at most %d tokens", MaxTokens)
 	}
 	for i, h := range hashes {
-		if len(h) != hashLen {
-			return errors.Newf("[%d]: want %d bytes, got %d", i, hashLen, len(h))
+		if len(h) != tokenHashBytes {
+			return errors.Newf("[%d]: want %d bytes, got %d", i, tokenHashBytes, len(h))
 		}
 	}
 	return nil
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func valid() *tlv1.Service {
+func validService() *tlv1.Service {
 	return &tlv1.Service{
 		Workspace: "w", Name: "s", FloorSlots: 3,
 		Targets: []*tlv1.Target{{Id: "t1", Address: "10.0.0.1:80", Slots: 3}, {Id: "t2", Address: "[::1]:80", Slots: 2}},
@@ -41,7 +41,7 @@
 	for _, c := range cases {
 		t.Run(c.want, func(t *testing.T) {
 			is := is.New(t)
-			s := valid()
+			s := validService()
 			c.spoils(s)
 			d := &tlv1.Document{Body: &tlv1.Document_Service{Service: s}}
 			key, err := config.KeyOf(d)
@@ -59,7 +59,7 @@
 }
 
 func FuzzCheck(f *testing.F) {
-	b, _ := proto.Marshal(&tlv1.Document{Key: "svc/w/s", Body: &tlv1.Document_Service{Service: valid()}})
+	b, _ := proto.Marshal(&tlv1.Document{Key: "svc/w/s", Body: &tlv1.Document_Service{Service: validService()}})
 	f.Add(b)
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		d := &tlv1.Document{}
--- a/config/log.go
+++ b/config/log.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// page is how many rows one read of the table asks for.
-const page = 200
+// pageSize is how many rows one read of the table asks for.
+const pageSize = 200
 
 // A Log reads configuration from the table.
 type Log interface {
@@ -41,19 +41,19 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "read head of log")
 	}
-	return seqIn(rows[0])
+	return decodeHead(rows[0])
 }
 
 func (l *log) Since(ctx context.Context, seq uint64) (changes []*tlv1.Change, err error) {
 	defer func() { err = errors.Wrapf(err, "read log since %d", seq) }()
-	rows, err := l.table.Scan(ctx, changePrefix, changePrefix+seqKey(seq), page)
+	rows, err := l.table.Scan(ctx, changePrefix, changePrefix+seqKey(seq), pageSize)
 	if err != nil {
 		return nil, err
 	}
-	return changesIn(rows)
+	return decodeChanges(rows)
 }
 
-func changesIn(rows []store.Row) ([]*tlv1.Change, error) {
+func decodeChanges(rows []store.Row) ([]*tlv1.Change, error) {
 	changes := make([]*tlv1.Change, len(rows))
 	for i, r := range rows {
 		changes[i] = &tlv1.Change{}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d, err = documentIn(rows[0])
+	d, err = decodeDocument(rows[0])
 	if err != nil {
 		return nil, err
 	}
@@ -80,9 +80,9 @@
 
 func (l *log) Services(ctx context.Context, w ident.Workspace) (docs []*tlv1.Document, err error) {
 	defer func() { err = errors.Wrapf(err, "list services of %s", w) }()
-	err = l.pages(ctx, ident.ServicePrefix(w), func(rows []store.Row) error {
+	err = l.forEachPage(ctx, ident.ServicePrefix(w), func(rows []store.Row) error {
 		for _, r := range rows {
-			d, err := documentIn(r)
+			d, err := decodeDocument(r)
 			if err != nil {
 				return err
 			}
@@ -95,8 +95,8 @@
 
 func (l *log) History(ctx context.Context, k ident.Key, limit int) (changes []*tlv1.Change, err error) {
 	defer func() { err = errors.Wrapf(err, "read history of %s", k) }()
-	err = l.pages(ctx, historyPrefix+string(k)+"/", func(rows []store.Row) error {
-		more, err := changesIn(rows)
+	err = l.forEachPage(ctx, historyPrefix+string(k)+"/", func(rows []store.Row) error {
+		more, err := decodeChanges(rows)
 		if err != nil {
 			return err
 		}
@@ -110,18 +110,18 @@
 	return changes, err
 }
 
-// pages calls f with each page of the rows with the prefix.
-func (l *log) pages(ctx context.Context, prefix string, f func(rows []store.Row) error) error {
+// forEachPage calls f with each page of the rows with the prefix.
+func (l *log) forEachPage(ctx context.Context, prefix string, f func(rows []store.Row) error) error {
 	after := ""
 	for {
-		rows, err := l.table.Scan(ctx, prefix, after, page)
+		rows, err := l.table.Scan(ctx, prefix, after, pageSize)
 		if err != nil {
 			return err
 		}
 		if err := f(rows); err != nil {
 			return err
 		}
-		if len(rows) < page {
+		if len(rows) < pageSize {
 			return nil
 		}
 		after = rows[len(rows)-1].Key
--- a/config/writer.go
+++ b/config/writer.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// maxRaces is how often a change is tried again when another one took its place in the log.
-	maxRaces = 32
-	// maxReads is how often the fate of a commit without answer is asked after.
-	maxReads = 8
+	// maxCommitTries is how often a change is tried again when another one took its place in the log.
+	maxCommitTries = 32
+	// maxResolveTries is how often the fate of a commit without answer is asked after.
+	maxResolveTries = 8
 )
 
 // Errors of a change.
@@ -78,8 +78,8 @@
 	return &writer{table: t, clock: c}
 }
 
-// state is what a change is built on.
-type state struct {
+// snapshot is what a change is built on.
+type snapshot struct {
 	id   store.Row
 	head store.Row
 	doc  store.Row
@@ -93,8 +93,8 @@
 	if err := ident.CheckName(r.ID); err != nil {
 		return nil, markInvalid(errors.Wrap(err, "change id"))
 	}
-	for range maxRaces {
-		c, done, err := w.try(ctx, r)
+	for range maxCommitTries {
+		c, done, err := w.attempt(ctx, r)
 		if done || err != nil {
 			return c, err
 		}
@@ -102,14 +102,14 @@
 	return nil, errors.Wrap(store.ErrAway, "log is too busy")
 }
 
-// try makes one attempt. It is not done if another change was faster.
-func (w *writer) try(ctx context.Context, r Request) (c *tlv1.Change, done bool, err error) {
-	s, err := w.read(ctx, r)
+// attempt makes one attempt. It is not done if another change was faster.
+func (w *writer) attempt(ctx context.Context, r Request) (c *tlv1.Change, done bool, err error) {
+	s, err := w.readSnapshot(ctx, r)
 	if err != nil {
 		return nil, false, err
 	}
 	if s.id.Version > 0 {
-		c, err := made(s.id)
+		c, err := decodeChange(s.id)
 		return c, true, err
 	}
 	c, err = w.build(r, s)
@@ -128,21 +128,21 @@
 	case errors.As(err, &conflict):
 		return nil, false, nil
 	}
-	c, err = w.settle(ctx, r.ID)
+	c, err = w.resolveLostCommit(ctx, r.ID)
 	return c, true, err
 }
 
-func (w *writer) read(ctx context.Context, r Request) (s state, err error) {
+func (w *writer) readSnapshot(ctx context.Context, r Request) (s snapshot, err error) {
 	rows, err := w.table.Read(ctx, idPrefix+r.ID, headRow, r.Document.GetKey())
 	if err != nil {
-		return state{}, err
+		return snapshot{}, err
 	}
-	return state{id: rows[0], head: rows[1], doc: rows[2]}, nil
+	return snapshot{id: rows[0], head: rows[1], doc: rows[2]}, nil
 }
 
 // build returns the change that follows the state read.
-func (w *writer) build(r Request, s state) (*tlv1.Change, error) {
-	current, err := documentIn(s.doc)
+func (w *writer) build(r Request, s snapshot) (*tlv1.Change, error) {
+	current, err := decodeDocument(s.doc)
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 			Current:  ident.Version(current.GetVersion()),
 		}
 	}
-	head, err := seqIn(s.head)
+	head, err := decodeHead(s.head)
 	if err != nil {
 		return nil, err
 	}
@@ -170,7 +170,7 @@
 	}, nil
 }
 
-func writesFor(c *tlv1.Change, s state) ([]store.Write, error) {
+func writesFor(c *tlv1.Change, s snapshot) ([]store.Write, error) {
 	change, err := proto.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -181,19 +181,19 @@
 	}
 	return []store.Write{
 		{Key: idPrefix + c.GetId(), Value: change},
-		{Key: headRow, Value: seqValue(c.GetSeq()), Expected: s.head.Version},
+		{Key: headRow, Value: encodeHead(c.GetSeq()), Expected: s.head.Version},
 		{Key: changePrefix + seqKey(c.GetSeq()), Value: change},
 		{Key: historyPrefix + c.GetDocument().GetKey() + "/" + seqKey(c.GetSeq()), Value: change},
 		{Key: c.GetDocument().GetKey(), Value: doc, Expected: s.doc.Version},
 	}, nil
 }
 
-// seqValue is the value of the head of the log: the last change's sequence number.
-func seqValue(seq uint64) []byte {
+// encodeHead is the value of the head of the log: the last change's sequence number.
+func encodeHead(seq uint64) []byte {
 	return []byte(strconv.FormatUint(seq, 10))
 }
 
-func seqIn(head store.Row) (uint64, error) {
+func decodeHead(head store.Row) (uint64, error) {
 	if head.Version == 0 {
 		return 0, nil
 	}
@@ -205,10 +205,10 @@
 	return fmt.Sprintf(seqFormat, seq)
 }
 
-// settle finds out what became of a commit whose answer was lost. It reads the change's own
+// resolveLostCommit finds out what became of a commit whose answer was lost. It reads the change's own
 // row again and never guesses; the same rule as section 4.2 of "Spot and Actor Membership".
-func (w *writer) settle(ctx context.Context, id string) (*tlv1.Change, error) {
-	for range maxReads {
+func (w *writer) resolveLostCommit(ctx context.Context, id string) (*tlv1.Change, error) {
+	for range maxResolveTries {
 		c, err := w.Resolve(ctx, id)
 		if err == nil || !errors.Is(err, store.ErrAway) {
 			return c, err
@@ -227,7 +227,7 @@
 		return nil, err
 	}
 	if rows[0].Version > 0 {
-		return made(rows[0])
+		return decodeChange(rows[0])
 	}
 	return w.void(ctx, id)
 }
@@ -245,12 +245,12 @@
 	case err == nil:
 		return c, ErrVoided
 	case errors.As(err, &conflict) && len(conflict.Rows) > 0:
-		return made(conflict.Rows[0])
+		return decodeChange(conflict.Rows[0])
 	}
 	return nil, err
 }
 
-func made(r store.Row) (*tlv1.Change, error) {
+func decodeChange(r store.Row) (*tlv1.Change, error) {
 	c := &tlv1.Change{}
 	if err := proto.Unmarshal(r.Value, c); err != nil {
 		return nil, errors.Wrapf(err, "row %s", r.Key)
@@ -261,7 +261,7 @@
 	return c, nil
 }
 
-func documentIn(r store.Row) (*tlv1.Document, error) {
+func decodeDocument(r store.Row) (*tlv1.Document, error) {
 	d := &tlv1.Document{}
 	if err := proto.Unmarshal(r.Value, d); err != nil {
 		return nil, errors.Wrapf(err, "row %s", r.Key)
--- a/config/writer_test.go
+++ b/config/writer_test.go
@@ -18,24 +18,24 @@
 	"pgregory.net/rapid"
 )
 
-// A memory is a table on a stand-in, reached by the platform's protocol.
-type memory struct {
+// A testTable is a table on a stand-in, reached by the platform's protocol.
+type testTable struct {
 	store.Table
 	door *standin.Door
 }
 
-func (m *memory) SetFaults(f standin.Faults) {
+func (m *testTable) SetFaults(f standin.Faults) {
 	m.door.SetFaults(f)
 }
 
 // cleaner is what tests and property checks have in common.
 type cleaner interface{ Cleanup(f func()) }
 
-func newMemory(t cleaner) *memory {
+func newTestTable(t cleaner) *testTable {
 	door := standin.NewDoor(standin.New(clock.NewManual(1000), clock.Minute))
 	s := httptest.NewServer(door)
 	t.Cleanup(s.Close)
-	return &memory{Table: platform.NewTable(platform.NewClient(s.Listener.Addr().String())), door: door}
+	return &testTable{Table: platform.NewTable(platform.NewClient(s.Listener.Addr().String())), door: door}
 }
 
 // service returns a document that expects the version and says something of its own.
@@ -44,13 +44,13 @@
 	return &tlv1.Document{Key: "svc/w/" + name, Version: uint64(expected), Body: &tlv1.Document_Service{Service: s}}
 }
 
-// racing lets another operator in between a read and a commit.
-type racing struct {
+// commitHook lets another operator in between a read and a commit.
+type commitHook struct {
 	store.Table
 	before func()
 }
 
-func (t *racing) Commit(ctx context.Context, writes ...store.Write) error {
+func (t *commitHook) Commit(ctx context.Context, writes ...store.Write) error {
 	if f := t.before; f != nil {
 		t.before = nil
 		f()
@@ -58,14 +58,14 @@
 	return t.Table.Commit(ctx, writes...)
 }
 
-// late holds a commit back, answers that it is lost, and lets it arrive afterwards.
-type late struct {
+// delayedTable holds a commit back, answers that it is lost, and lets it arrive afterwards.
+type delayedTable struct {
 	store.Table
 	held []store.Write
 	hold bool
 }
 
-func (t *late) Commit(ctx context.Context, writes ...store.Write) error {
+func (t *delayedTable) Commit(ctx context.Context, writes ...store.Write) error {
 	if t.hold {
 		t.hold, t.held = false, writes
 		return store.ErrAway
@@ -73,12 +73,12 @@
 	return t.Table.Commit(ctx, writes...)
 }
 
-func TestRacingOperatorIsToldBothVersions(t *testing.T) {
+func TestStaleErrorNamesBothVersions(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
-	table := &racing{Table: m, before: func() {
+	table := &commitHook{Table: m, before: func() {
 		_, err := other.Apply(ctx, config.Request{ID: "b", Who: "b", Document: service("s", 0, 2)})
 		is.NoErr(err)
 	}}
@@ -88,12 +88,12 @@
 	is.Equal(*stale, config.StaleError{Key: "svc/w/s", Expected: 0, Current: 1})
 }
 
-func TestRaceForTheLogAloneIsTriedAgain(t *testing.T) {
+func TestConflictOnLogHeadIsRetried(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
-	table := &racing{Table: m, before: func() {
+	table := &commitHook{Table: m, before: func() {
 		_, err := other.Apply(ctx, config.Request{ID: "b", Document: service("other", 0, 2)})
 		is.NoErr(err)
 	}}
@@ -105,7 +105,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	m.SetFaults(standin.Faults{LoseAnswers: 1})
 	w := config.NewWriter(m, clock.NewManual(1))
 	c, err := w.Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
@@ -122,8 +122,8 @@
 func TestVoidedChangeCannotArriveLate(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
-	table := &late{Table: m, hold: true}
+	m := newTestTable(t)
+	table := &delayedTable{Table: m, hold: true}
 	w := config.NewWriter(table, clock.NewManual(1))
 	_, err := w.Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
 	is.True(errors.Is(err, config.ErrVoided))
@@ -131,13 +131,13 @@
 	is.True(errors.As(m.Commit(ctx, table.held...), &conflict)) // the write comes, and is refused
 }
 
-func TestAwayTableLeavesTheChangeUndecidedUntilResolved(t *testing.T) {
+func TestUnreachableStoreLeavesOutcomeUnknownUntilResolved(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
-	table := &late{Table: m, hold: true}
+	m := newTestTable(t)
+	table := &delayedTable{Table: m, hold: true}
 	w := config.NewWriter(table, clock.NewManual(1))
-	away := &racing{Table: table, before: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
+	away := &commitHook{Table: table, before: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
 	_, err := config.NewWriter(away, clock.NewManual(1)).Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
 	is.True(errors.Is(err, config.ErrUndecided))
 	m.SetFaults(standin.Faults{})
@@ -150,7 +150,7 @@
 func TestHistoryIsTheAuditTrail(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	w := config.NewWriter(m, clock.NewManual(77))
 	for i := range 5 {
 		_, err := w.Apply(ctx, config.Request{ID: fmt.Sprint("c", i), Who: fmt.Sprint("op", i), Document: service("s", i, i)})
@@ -170,25 +170,25 @@
 func TestOperatorsRacing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
-		m := newMemory(t)
-		table := &late{Table: m}
+		m := newTestTable(t)
+		table := &delayedTable{Table: m}
 		w := config.NewWriter(table, clock.NewManual(1))
 		log := config.NewLog(m)
-		told := map[string]bool{}
-		void := map[string]bool{}
-		open := map[string]bool{}
+		applied := map[string]bool{}
+		voided := map[string]bool{}
+		undecided := map[string]bool{}
 		known := map[string]int{}
 		n := 0
 		settle := func(id string, c *tlv1.Change, err error) {
-			delete(open, id)
+			delete(undecided, id)
 			switch {
 			case err == nil:
-				told[id] = true
+				applied[id] = true
 				known[c.GetDocument().GetKey()] = int(c.GetSeq())
 			case errors.Is(err, config.ErrVoided):
-				void[id] = true
+				voided[id] = true
 			case errors.Is(err, config.ErrUndecided), errors.Is(err, store.ErrAway):
-				open[id] = true
+				undecided[id] = true
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -205,7 +205,7 @@
 					t.Skip()
 				}
 				id := fmt.Sprint("c", rapid.IntRange(1, n).Draw(t, "change"))
-				if !open[id] {
+				if !undecided[id] {
 					t.Skip()
 				}
 				c, err := w.Resolve(ctx, id)
@@ -231,7 +231,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				checkLog(t, changes, told, void)
+				checkLog(t, changes, applied, voided)
 				for _, c := range changes {
 					known[c.GetDocument().GetKey()] = int(c.GetSeq())
 				}
@@ -240,7 +240,7 @@
 	})
 }
 
-func checkLog(t *rapid.T, changes []*tlv1.Change, told, void map[string]bool) {
+func checkLog(t *rapid.T, changes []*tlv1.Change, applied, voided map[string]bool) {
 	count := map[string]int{}
 	latest := map[string]uint64{}
 	for i, c := range changes {
@@ -254,12 +254,12 @@
 		latest[key] = c.GetSeq()
 		count[c.GetId()]++
 	}
-	for id := range told {
+	for id := range applied {
 		if count[id] != 1 {
 			t.Fatalf("change %s was told as made and is in the log %d times", id, count[id])
 		}
 	}
-	for id := range void {
+	for id := range voided {
 		if count[id] != 0 {
 			t.Fatalf("change %s was told as not made and is in the log", id)
 		}
--- a/desired/desired.go
+++ b/desired/desired.go
@@ -44,9 +44,9 @@
 	// Regions are the only ones that may serve the route's requests; empty stands for all.
 	Regions []ident.Region
 	// Parts are empty where the route cannot be used, as Fault says: its requests lead nowhere.
-	Parts  []Part
-	Fault  string
-	weight uint32
+	Parts       []Part
+	Fault       string
+	totalWeight uint32
 }
 
 // Service draws the service for one request, by weight. Draw returns a random number below n. The
@@ -55,7 +55,7 @@
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
-	n := draw(r.weight)
+	n := draw(r.totalWeight)
 	for _, p := range r.Parts {
 		if n < p.Weight {
 			return p.Service
@@ -124,18 +124,18 @@
 		}
 	}
 	for _, r := range s.GetRoutes() {
-		t.add(r)
+		t.addRoute(r)
 	}
 	if s.GetKeyed() {
-		t.admit(s.GetWorkspaces())
+		t.addWorkspaces(s.GetWorkspaces())
 	}
-	t.sort()
+	t.sortRoutes()
 	t.groups = newGroups(t)
 	return t, nil
 }
 
-// admit takes in who may ask. A workspace that cannot be used costs no more than itself, and opens nothing.
-func (t *Table) admit(list []*tlv1.DesiredWorkspace) {
+// addWorkspaces takes in who may ask. A workspace that cannot be used costs no more than itself, and opens nothing.
+func (t *Table) addWorkspaces(list []*tlv1.DesiredWorkspace) {
 	t.Access = access.NewDirectory()
 	for _, w := range list {
 		var keys []access.Digest
@@ -154,7 +154,7 @@
 	}
 }
 
-func (t *Table) add(d *tlv1.DesiredRoute) {
+func (t *Table) addRoute(d *tlv1.DesiredRoute) {
 	r := &Route{
 		Name:       d.GetName(),
 		Host:       strings.ToLower(d.GetHost()),
@@ -167,7 +167,7 @@
 		Attempts:   max(int(d.GetAttempts()), 1),
 		Regions:    regions(d.GetRegions()),
 	}
-	err := t.lead(r, d)
+	err := t.setBackends(r, d)
 	if err != nil {
 		r.Parts, r.Fault = nil, err.Error()
 		t.faults = append(t.faults, errors.Wrapf(err, "route %q", r.Name))
@@ -189,8 +189,8 @@
 	return list
 }
 
-// lead sets where the route leads, and says why it cannot be used.
-func (t *Table) lead(r *Route, d *tlv1.DesiredRoute) error {
+// setBackends sets where the route leads, and says why it cannot be used.
+func (t *Table) setBackends(r *Route, d *tlv1.DesiredRoute) error {
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return errors.Newf("host %q and prefix %q do not name a place", r.Host, r.Prefix)
 	}
@@ -202,7 +202,7 @@
 			return errors.Newf("no service %q", p.GetService())
 		}
 		r.Parts = append(r.Parts, Part{Service: p.GetService(), Weight: p.GetWeight()})
-		r.weight += p.GetWeight()
+		r.totalWeight += p.GetWeight()
 	}
 	if len(r.Parts) == 0 {
 		return errors.New("leads to no service")
@@ -215,8 +215,8 @@
 	return t.faults
 }
 
-// sort puts the longest prefixes first.
-func (t *Table) sort() {
+// sortRoutes puts the longest prefixes first.
+func (t *Table) sortRoutes() {
 	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int {
 			return cmp.Compare(len(b.Prefix), len(a.Prefix))
--- a/desired/desired_test.go
+++ b/desired/desired_test.go
@@ -57,9 +57,9 @@
 	is.New(t).True(err != nil)
 }
 
-// TestOneFaultyRouteCostsItself puts a route that cannot be used beside a sound one. The sound one
+// TestInvalidRouteAffectsOnlyItself puts a route that cannot be used beside a sound one. The sound one
 // leads where it did, and no other route takes over the requests of the one with the fault.
-func TestOneFaultyRouteCostsItself(t *testing.T) {
+func TestInvalidRouteAffectsOnlyItself(t *testing.T) {
 	cases := []struct {
 		name   string
 		faulty *tlv1.DesiredRoute
@@ -107,7 +107,7 @@
 	is.Equal(counts, map[string]int{"s": 90, "u": 10})
 }
 
-func TestGroupsJoinWhatSharesHosts(t *testing.T) {
+func TestGroupsJoinServicesThatShareHosts(t *testing.T) {
 	is := is.New(t)
 	table, err := desired.Compile(state(route("1", "a", "/"), route("2", "a", "/t/", &tlv1.Part{Service: "t", Weight: 1}), route("3", "b", "/", &tlv1.Part{Service: "u", Weight: 1})))
 	is.NoErr(err)
--- a/desired/group.go
+++ b/desired/group.go
@@ -17,19 +17,19 @@
 
 // Prefixes keep the names of hosts and of services apart.
 const (
-	hostName    = "h:"
-	serviceName = "s:"
+	hostPrefix    = "h:"
+	servicePrefix = "s:"
 )
 
 func newGroups(t *Table) *groups {
 	g := &groups{parent: map[string]string{}, services: map[Group][]string{}}
 	for _, r := range t.routes {
 		for _, p := range r.Parts {
-			g.join(hostName+r.Host, serviceName+p.Service)
+			g.union(hostPrefix+r.Host, servicePrefix+p.Service)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
-		id := Group(g.find(serviceName + name))
+		id := Group(g.find(servicePrefix + name))
 		g.services[id] = append(g.services[id], name)
 	}
 	return g
@@ -45,8 +45,8 @@
 	}
 }
 
-// join makes the smaller name the group's, so that all nodes name groups alike.
-func (g *groups) join(a, b string) {
+// union makes the smaller name the group's, so that all nodes name groups alike.
+func (g *groups) union(a, b string) {
 	a, b = g.find(a), g.find(b)
 	if a > b {
 		a, b = b, a
@@ -56,12 +56,12 @@
 
 // GroupOfHost returns the group of the services that the host's routes lead to.
 func (t *Table) GroupOfHost(host string) Group {
-	return Group(t.groups.find(hostName + HostOf(host)))
+	return Group(t.groups.find(hostPrefix + HostOf(host)))
 }
 
 // GroupOfService returns the group that the service is in.
 func (t *Table) GroupOfService(name string) Group {
-	return Group(t.groups.find(serviceName + name))
+	return Group(t.groups.find(servicePrefix + name))
 }
 
 // Groups returns the groups that have services, in order.
