--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,9 +1,9 @@
-// Package quarantine decides which requests are held back because targets crash that run them. It does no I/O.
+// Package quarantine decides which requests to hold back because they crash the targets that run them. It does no I/O.
 //
-// The load that it answers: one request that ends each target that begins to run it, and that its caller sends again
-// and again, at any node. Each send ends one more target, and with it what others have there; a service of eight targets
-// is gone in a second. What such a request is not: one that was at work by chance where a target died of something else,
-// of which another target gives a good answer soon.
+// It guards against a request that crashes every target that runs it, and that its caller keeps sending, to any node. Each
+// send crashes another target, along with the requests of others on it; a service of eight targets is down within a
+// second. A request that merely was in flight when a target crashed of another cause is released: another target soon
+// answers it successfully.
 package quarantine
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FingerprintBytes is the size of a fingerprint: nobody can make a request that has another one's.
+// FingerprintBytes is the size of a fingerprint. It is large enough that nobody can forge a request with the fingerprint of
+// another one.
 const FingerprintBytes = 16
 
-// A Fingerprint names a request by what it is, whatever id it comes under. It is the same on all nodes.
+// A Fingerprint identifies a request by its content, whatever its request id. It is the same on all nodes.
 type Fingerprint [FingerprintBytes]byte
 
 // String returns the fingerprint in hexadecimal digits.
@@ -26,7 +27,7 @@
 	return hex.EncodeToString(fp[:])
 }
 
-// ParseFingerprint returns the fingerprint that the digits name.
+// ParseFingerprint parses the hexadecimal form of a fingerprint.
 func ParseFingerprint(s string) (fp Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != FingerprintBytes {
@@ -35,47 +36,47 @@
 	return Fingerprint(b), nil
 }
 
-// A Scope says how much of a request a fingerprint covers. What crashes targets may be one caller's alone, or the same
-// whoever sends it, or whatever query it comes with: a request has a fingerprint of each scope, and each is judged by itself.
+// A Scope is the part of a request that a fingerprint covers. The cause of a crash may be tied to one caller, or independent
+// of the caller, or also of the query. A request has a fingerprint of each scope, and each is tracked separately.
 type Scope int
 
 // Scopes, each wider than the one before.
 const (
-	// ScopeCaller fingerprints tell callers apart: what one caller's request does says nothing of the like ones of others, which
-	// may be served all the time.
+	// ScopeCaller fingerprints differ by caller: a request of one caller may crash targets while the same request of others
+	// is served.
 	ScopeCaller Scope = iota
-	// ScopeRequest fingerprints are the same for all callers in the name of one workspace.
+	// ScopeRequest fingerprints are the same for all callers of a Workspace.
 	ScopeRequest
-	// ScopePath fingerprints are the same for all queries too.
+	// ScopePath fingerprints are also the same for all queries.
 	ScopePath
 
 	scopes
 )
 
-// String returns the scope as operators are told it.
+// String returns the name of the scope that operators see.
 func (s Scope) String() string {
 	return [...]string{"caller", "request", "path"}[s]
 }
 
-// A Request struct is what a request is known by.
+// A Request holds the parts of a request that its fingerprints cover.
 type Request struct {
-	// Caller is the network address that it came from, and Workspace in whose name it runs.
+	// Caller is the network address of the caller, and Workspace the one on whose behalf it runs.
 	Caller, Workspace string
 	// Target is the path and query.
 	Method, Host, Target string
-	// Body is the body, or the first part of a large one, and Length its whole length; -1 if that is not known.
+	// Body is the body, or the first part of a large one. Length is the length of the whole body, or -1 if unknown.
 	Body   []byte
 	Length int64
 }
 
-// Fingerprints are a request's, by their scope.
+// Fingerprints holds the fingerprints of a request, indexed by Scope.
 type Fingerprints [scopes]Fingerprint
 
-// textBufferBytes holds the text of a usual request, so that its fingerprints need no memory of their own.
+// textBufferBytes is large enough for the hashed text of most requests, so that fingerprints need no allocation.
 const textBufferBytes = 512
 
-// FingerprintsOf returns the request's fingerprints. They differ from each other, so that one who asks without a query is known by
-// his path and by his request.
+// FingerprintsOf returns the fingerprints of the request. Each covers its scope, so that those of a request without a query
+// differ too.
 func FingerprintsOf(r *Request) (fps Fingerprints) {
 	body := sha256.Sum256(r.Body)
 	path, _, _ := strings.Cut(r.Target, "?")
