--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -11,8 +11,8 @@
 	Caller: "10.0.0.1", Workspace: "shop", Method: "GET", Host: "example", Target: "/a/b?c", Body: []byte("body"), Length: 4,
 }
 
-// TestFingerprintsDistinguishRequests changes one thing at a time, and moves bytes from one field to the next. Each change is told
-// by the fingerprints whose scope is no wider than it.
+// TestFingerprintsDistinguishRequests changes one field at a time, and moves bytes between adjacent fields. The first differ
+// fingerprints, the narrowest ones, must differ from the original's.
 func TestFingerprintsDistinguishRequests(t *testing.T) {
 	is := is.New(t)
 	before := quarantine.FingerprintsOf(&testRequest)
@@ -64,7 +64,7 @@
 	is.Equal(testing.AllocsPerRun(100, func() { _ = quarantine.FingerprintsOf(&testRequest) }), 0.0)
 }
 
-// BenchmarkFingerprints is what a request costs while any request is under suspicion; while none is, none are made.
+// BenchmarkFingerprints measures the cost per request while the list has entries; fingerprints are not computed otherwise.
 func BenchmarkFingerprints(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
