--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -11,8 +11,7 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// What the fleet promises: once three targets have crashed under a request, and as long again as it takes for all to hear of
-// it, the request is sent three times more at most.
+// The guarantee under test: from propagationBound after the third crash on, the request is sent maxLateSends times at most.
 const (
 	propagationBound = 3 * clock.Second
 	maxLateSends     = 3
@@ -26,19 +25,19 @@
 	storeDelay clock.Millis = 300
 )
 
-// modelFleet is nodes in virtual time that are cut from each other in groups, and share a store.
+// modelFleet simulates nodes in virtual time that share a store, and that are partitioned into groups.
 type modelFleet struct {
 	t     *testing.T
 	clock *clock.Manual
 	rand  *rand.Rand
 	nodes []*modelNode
-	// groups says which nodes hear each other.
+	// groups holds the group of each node. Datagrams only reach nodes of the same group.
 	groups []int
 	rows   map[string]modelRow
-	// inFlight are sends that have not crashed their target yet.
+	// inFlight holds the sends that have not crashed their target yet.
 	inFlight []modelSend
 	crashes  []clock.Millis
-	// sends are those of nodes that had been there for long enough to have heard.
+	// sends holds the times of sends by nodes that were up for longer than propagationBound.
 	sends []clock.Millis
 }
 
@@ -73,7 +72,7 @@
 	return &modelNode{list: quarantine.New(f.clock), seen: map[string]int{}, startedAt: f.clock.Now()}
 }
 
-// cut puts the nodes into new groups by chance.
+// cut partitions the nodes into random groups.
 func (f *modelFleet) cut() {
 	count := 1 + f.rand.IntN(len(f.nodes))
 	for i := range f.groups {
@@ -81,7 +80,7 @@
 	}
 }
 
-// send has the request come to a node.
+// send has a node receive the request, and send it to a target unless it is held back.
 func (f *modelFleet) send(i int) {
 	n := f.nodes[i]
 	v := n.list.Decide(testFingerprint)
@@ -94,7 +93,7 @@
 	f.inFlight = append(f.inFlight, modelSend{node: i, at: f.clock.Now()})
 }
 
-// claimTrial has the store decide who makes a trial.
+// claimTrial reports whether the node may make the trial, as decided by the store.
 func (f *modelFleet) claimTrial(n *modelNode, trials int) bool {
 	if !n.list.Tried(testFingerprint, trials) || quarantine.TrialsIn(f.row().row, testFingerprint) >= trials {
 		return false
@@ -113,7 +112,7 @@
 	n.list.Wrote(testFingerprint)
 }
 
-// step lets targets crash, word go round and nodes follow the store.
+// step crashes targets, and lets nodes read and write the store.
 func (f *modelFleet) step() {
 	now := f.clock.Now()
 	f.inFlight = slices.DeleteFunc(f.inFlight, func(s modelSend) bool {
@@ -138,7 +137,7 @@
 	}
 }
 
-// crash has a node see that its target crashed, and tell those that hear it.
+// crash has a node detect the crash of its target, and notify the other nodes of its group.
 func (f *modelFleet) crash(s modelSend) {
 	i := s.node
 	f.crashes = append(f.crashes, f.clock.Now())
@@ -153,7 +152,7 @@
 			continue
 		}
 		alone = false
-		if f.rand.IntN(20) > 0 { // datagrams are lost now and then
+		if f.rand.IntN(20) > 0 { // 5 % of datagrams are lost
 			c, _ := quarantine.FromWire(quarantine.ToWire(known, f.clock.Now()), f.clock.Now())
 			other.list.Crashed(c)
 		}
@@ -163,7 +162,7 @@
 	}
 }
 
-// countLateSends counts the sends that came too countLateSends.
+// countLateSends counts the sends after the propagation bound.
 func (f *modelFleet) countLateSends() (count int) {
 	if len(f.crashes) < crashThreshold {
 		return 0
@@ -177,7 +176,7 @@
 }
 
 // TestRequestThatCrashesTargetsIsHeldByAll sends a request that crashes each target that runs it, for 100 s, to nodes that
-// are cut from each other in changing groups, restart knowing nothing, and lose datagrams; the store is in reach of all.
+// are partitioned into changing groups, restart with empty lists, and lose datagrams. All reach the store.
 func TestRequestThatCrashesTargetsIsHeldByAll(t *testing.T) {
 	mostCrashes := 0
 	for seed := range uint64(400) {
