--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -11,12 +11,12 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// crashThreshold is how many targets crash under a request until it is quarantined.
+// crashThreshold is the number of crashes that quarantines a request.
 const crashThreshold = 3
 
 var testFingerprint = quarantine.FingerprintsOf(&testRequest)[quarantine.ScopeRequest]
 
-// crashReport is word of one crashReport that was just seen.
+// crashReport returns a report of a crash that happens now.
 func crashReport(c clock.Clock, target string) quarantine.Case {
 	return quarantine.Case{
 		Fingerprint: testFingerprint, Service: "desk", What: "GET example/a/b",
@@ -24,7 +24,7 @@
 	}
 }
 
-// newHeldList returns a list that holds the page back.
+// newHeldList returns a list that has quarantined testFingerprint.
 func newHeldList(c clock.Clock) *quarantine.List {
 	l := quarantine.New(c)
 	for i := range crashThreshold {
@@ -39,8 +39,8 @@
 	l := quarantine.New(c)
 	is.True(l.Empty())
 	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected)
-	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Unchanged) // another request was lost by the same crash
-	is.True(!l.Decide(testFingerprint).SingleAttempt())            // one that was in flight by chance may be tried again
+	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Unchanged) // another request failed by the same crash
+	is.True(!l.Decide(testFingerprint).SingleAttempt())            // it may have been in flight by coincidence
 	is.Equal(l.Crashed(crashReport(c, "b")), quarantine.Suspected)
 	is.True(l.Decide(testFingerprint).SingleAttempt())
 	is.True(!l.Decide(testFingerprint).Held)
@@ -48,10 +48,10 @@
 	v := l.Decide(testFingerprint)
 	is.True(v.Held && !v.Due)
 	is.True(v.RetryAfter > 0)
-	is.Equal(l.Decide(quarantine.Fingerprint{}), quarantine.Verdict{}) // others are as before
+	is.Equal(l.Decide(quarantine.Fingerprint{}), quarantine.Verdict{}) // other requests are not affected
 }
 
-// TestOneTargetThatCrashesAgainCounts has a service of one target, which starts again under the same id.
+// TestOneTargetThatCrashesAgainCounts has a single target that restarts under the same id after each crash.
 func TestOneTargetThatCrashesAgainCounts(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -63,9 +63,8 @@
 	is.True(l.Decide(testFingerprint).Held)
 }
 
-// TestTargetsThatCrashTogether has a request that many send at work on five targets that lose power at once: it is tried at
-// once, by one of the fleet, and what was lost with a target may be tried elsewhere. One that crashes its next target too is
-// held back for longer.
+// TestTargetsThatCrashTogether has five targets that run the same request lose power at once. The first trial is due at
+// once, and attempts lost with a target may be retried. If the trial crashes its target too, the next one is delayed.
 func TestTargetsThatCrashTogether(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(10_000)
@@ -98,14 +97,14 @@
 	is.True(found)
 	is.Equal(len(was.Crashes), crashThreshold)
 	is.Equal(l.Decide(testFingerprint), quarantine.Verdict{})
-	is.Equal(l.Crashed(old), quarantine.Unchanged) // word that is older than the good answer
+	is.Equal(l.Crashed(old), quarantine.Unchanged) // the report is older than the successful answer
 	_, found = l.Clear(testFingerprint)
 	is.True(!found)
 	c.Advance(1)
-	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected) // it begins anew
+	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected) // counting starts again
 }
 
-// TestTrialDelaysGrow counts the trials of an hour and a half in which the request crashes its target each time.
+// TestTrialDelaysGrow counts the trials within 90 minutes of a request that crashes its target each time.
 func TestTrialDelaysGrow(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -115,7 +114,7 @@
 	for c.Now()-began < 90*clock.Minute {
 		if v := l.Decide(testFingerprint); v.Due {
 			is.True(l.Tried(testFingerprint, v.Trials+1))
-			is.True(!l.Tried(testFingerprint, v.Trials+1)) // a second request at the same time
+			is.True(!l.Tried(testFingerprint, v.Trials+1)) // a concurrent request
 			at = append(at, c.Now()-began)
 			is.Equal(l.Crashed(crashReport(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
 		}
@@ -127,7 +126,7 @@
 	}
 }
 
-// TestMemoryIsBounded lets far more requests crash a target than are remembered. Those that are held back stay.
+// TestMemoryIsBounded reports crashes of far more requests than a list holds. Quarantined requests stay.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -144,7 +143,7 @@
 	is.Equal(len(l.All()), 1)
 }
 
-// TestRowsBringANodeUpToDate hands the rows that one node writes to another, which knows nothing, and back.
+// TestRowsBringANodeUpToDate passes the rows that one node writes to another with an empty list, and back.
 func TestRowsBringANodeUpToDate(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -159,13 +158,13 @@
 	is.Equal(there.Take(key, row)[testFingerprint], quarantine.Unchanged)
 	is.Equal(here.Take(key, row)[testFingerprint], quarantine.Unchanged)
 
-	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.Unchanged) // late word of what the row names
+	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.Unchanged) // late report of a crash that is in the row
 	c.Advance(5 * clock.Second)
-	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.CrashedAgain) // it started again, and crashed again
+	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.CrashedAgain) // the target restarted and crashed again
 
 	there.Clear(testFingerprint)
 	is.True(there.MarkDirty(testFingerprint))
-	there.Take(key, row) // older than what is known here
+	there.Take(key, row) // the row is older than the clearing
 	is.True(!there.Decide(testFingerprint).Held)
 	row = there.Row(testFingerprint, row)
 	is.Equal(len(row.GetSuspects()), 0)
@@ -173,7 +172,7 @@
 	is.True(!here.Decide(testFingerprint).Held)
 }
 
-// TestRowsMerge has two nodes that hear nothing of each other write what each has seen.
+// TestRowsMerge has two nodes that exchange no datagrams write the crashes that each has seen.
 func TestRowsMerge(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -187,7 +186,7 @@
 	is.Equal(here.Take(key, there.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
 }
 
-// TestAFullRowClearsNothing pushes requests out of a row: those that are missing from it were not cleared.
+// TestAFullRowClearsNothing fills a row until it drops a request. A request missing from a full row was not cleared.
 func TestAFullRowClearsNothing(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -207,7 +206,6 @@
 	is.True(l.Decide(testFingerprint).Held)
 }
 
-// TestFromWireRejectsWrongFingerprintSizes hands in fingerprints of other sizes.
 func TestFromWireRejectsWrongFingerprintSizes(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{0, 1, 15, 17} {
@@ -216,7 +214,7 @@
 	}
 }
 
-// BenchmarkDecide is what a request costs besides its fingerprint, while 1,000 requests are under suspicion.
+// BenchmarkDecide measures the cost per request besides its fingerprints, with 1,000 suspect requests in the list.
 func BenchmarkDecide(b *testing.B) {
 	c := clock.NewManual(1000)
 	l := newHeldList(c)
@@ -231,7 +229,7 @@
 	}
 }
 
-// BenchmarkNothingSuspected is what a request costs while none is under suspicion.
+// BenchmarkNothingSuspected measures the cost per request with an empty list.
 func BenchmarkNothingSuspected(b *testing.B) {
 	l := quarantine.New(clock.NewManual(1000))
 	for b.Loop() {
