--- a/desired/desired_test.go
+++ b/desired/desired_test.go
@@ -57,13 +57,13 @@
 	is.New(t).True(err != nil)
 }
 
-// TestInvalidRouteAffectsOnlyItself puts a route that cannot be used beside a sound one. The sound one
-// leads where it did, and no other route takes over the requests of the one with the fault.
+// TestInvalidRouteAffectsOnlyItself adds an invalid route next to a valid one. The valid one must keep its
+// requests, and must not take over those of the invalid one.
 func TestInvalidRouteAffectsOnlyItself(t *testing.T) {
 	cases := []struct {
 		name   string
 		faulty *tlv1.DesiredRoute
-		// path is one of the faulty route's requests, if anybody can say which they are.
+		// path belongs to the invalid route; empty if the route has no host or path.
 		path string
 	}{
 		{name: "no host", faulty: route("r", "", "/x/")},
