--- a/desired/group.go
+++ b/desired/group.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// A Group names services whose requests come through the same hosts. Callers ask by host, so the
-// nodes that they are sent to see all services of a group.
+// A Group identifies services that are connected by shared hosts. Callers are assigned to nodes by host, so the
+// nodes of a host need all services of its group.
 type Group string
 
-// groups joins hosts and services that share requests, as a union-find over their names.
+// groups is a union-find over the names of hosts and services that routes connect.
 type groups struct {
 	parent   map[string]string
 	services map[Group][]string
@@ -45,7 +45,7 @@
 	}
 }
 
-// union makes the smaller name the group's, so that all nodes name groups alike.
+// union merges two groups. The smaller name becomes the root, so that all nodes give a group the same name.
 func (g *groups) union(a, b string) {
 	a, b = g.find(a), g.find(b)
 	if a > b {
@@ -54,22 +54,22 @@
 	g.parent[b] = a
 }
 
-// GroupOfHost returns the group of the services that the host's routes lead to.
+// GroupOfHost returns the group of the services behind the host.
 func (t *Table) GroupOfHost(host string) Group {
 	return Group(t.groups.find(hostPrefix + HostOf(host)))
 }
 
-// GroupOfService returns the group that the service is in.
+// GroupOfService returns the group of the service.
 func (t *Table) GroupOfService(name string) Group {
 	return Group(t.groups.find(servicePrefix + name))
 }
 
-// Groups returns the groups that have services, in order.
+// Groups returns the groups that have services, sorted by name.
 func (t *Table) Groups() []Group {
 	return slices.Sorted(maps.Keys(t.groups.services))
 }
 
-// ServicesOf returns the services of the group, by name.
+// ServicesOf returns the services of the group, sorted by name.
 func (t *Table) ServicesOf(g Group) []string {
 	return t.groups.services[g]
 }
