--- a/config/document.go
+++ b/config/document.go
@@ -1,5 +1,5 @@
-// Package config holds the fleet's configuration: its documents and their checks, the writer
-// that makes changes through the table, the log that nodes read, and what one node holds.
+// Package config implements the fleet's configuration: the validation of documents, a writer that applies
+// changes to the store, and a log for reading them.
 package config
 
 import (
@@ -24,7 +24,7 @@
 	tokenHashBytes = 32
 )
 
-// Defaults for what a document leaves out.
+// Defaults for fields that a document omits.
 const (
 	DefaultNodes       = 3
 	DefaultQueue       = 512
@@ -32,10 +32,10 @@
 	DefaultDeadlineMs  = 10_000
 )
 
-// ErrInvalid marks every error that says what is wrong with a document.
+// ErrInvalid marks every error about an invalid document.
 var ErrInvalid = errors.New("document is not valid")
 
-// KeyOf returns the key under which the document's body belongs.
+// KeyOf returns the key that the document's body requires.
 func KeyOf(d *tlv1.Document) (ident.Key, error) {
 	switch b := d.GetBody().(type) {
 	case *tlv1.Document_Service:
@@ -49,7 +49,7 @@
 	return "", errors.Mark(errors.New("document has no body"), ErrInvalid)
 }
 
-// Check returns an error marked ErrInvalid that names the first field that is wrong.
+// Check validates a document. Its error is marked ErrInvalid and names the first invalid field.
 func Check(d *tlv1.Document) (err error) {
 	defer func() { err = markInvalid(err) }()
 	key, err := KeyOf(d)
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Nodes returns how many nodes serve s.
+// Nodes returns the number of nodes that serve s.
 func Nodes(s *tlv1.Service) int {
 	if s.GetNodes() == 0 {
 		return DefaultNodes
