--- a/config/log.go
+++ b/config/log.go
@@ -10,18 +10,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// pageSize is how many rows one read of the table asks for.
+// pageSize is the maximum number of rows per scan of the store.
 const pageSize = 200
 
-// A Log reads configuration from the table.
+// A Log reads configuration from the store.
 type Log interface {
 	// Head returns the sequence number of the last change.
 	Head(ctx context.Context) (uint64, error)
 	// Since returns the changes after seq, oldest first, at most a page of them.
 	Since(ctx context.Context, seq uint64) ([]*tlv1.Change, error)
-	// Document returns the document in force, or one with version 0.
+	// Document returns the current document, or one with version 0 if there is none.
 	Document(ctx context.Context, k ident.Key) (*tlv1.Document, error)
-	// Services returns all documents of a workspace's services.
+	// Services returns the documents of all services of a Workspace.
 	Services(ctx context.Context, w ident.Workspace) ([]*tlv1.Document, error)
 	// History returns the last changes of a document, newest first.
 	History(ctx context.Context, k ident.Key, limit int) ([]*tlv1.Change, error)
@@ -31,7 +31,7 @@
 	table store.Table
 }
 
-// NewLog returns the Log of the table.
+// NewLog returns a Log that reads from the table.
 func NewLog(t store.Table) Log {
 	return &log{table: t}
 }
