--- a/config/seed_test.go
+++ b/config/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Draws are the same on every run, unless -rapid.seed says otherwise; 0 draws at random.
+// The seed is fixed by default, so that runs are reproducible. -rapid.seed=0 selects a random one.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
