--- a/config/writer_test.go
+++ b/config/writer_test.go
@@ -18,7 +18,7 @@
 	"pgregory.net/rapid"
 )
 
-// A testTable is a table on a stand-in, reached by the platform's protocol.
+// A testTable accesses an emulated store by the platform's protocol.
 type testTable struct {
 	store.Table
 	door *standin.Door
@@ -28,7 +28,7 @@
 	m.door.SetFaults(f)
 }
 
-// cleaner is what tests and property checks have in common.
+// cleaner is implemented by *testing.T and *rapid.T.
 type cleaner interface{ Cleanup(f func()) }
 
 func newTestTable(t cleaner) *testTable {
@@ -38,13 +38,13 @@
 	return &testTable{Table: platform.NewTable(platform.NewClient(s.Listener.Addr().String())), door: door}
 }
 
-// service returns a document that expects the version and says something of its own.
+// service returns a document that expects the given version. Different queue lengths make documents distinct.
 func service(name string, expected, queue int) *tlv1.Document {
 	s := &tlv1.Service{Workspace: "w", Name: name, Queue: uint32(queue)}
 	return &tlv1.Document{Key: "svc/w/" + name, Version: uint64(expected), Body: &tlv1.Document_Service{Service: s}}
 }
 
-// commitHook lets another operator in between a read and a commit.
+// commitHook calls before ahead of the first commit, such as for a change by another operator.
 type commitHook struct {
 	store.Table
 	before func()
@@ -58,7 +58,7 @@
 	return t.Table.Commit(ctx, writes...)
 }
 
-// delayedTable holds a commit back, answers that it is lost, and lets it arrive afterwards.
+// delayedTable holds a commit back and returns an error, so that the test can deliver the commit later.
 type delayedTable struct {
 	store.Table
 	held []store.Write
@@ -128,7 +128,7 @@
 	_, err := w.Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
 	is.True(errors.Is(err, config.ErrVoided))
 	var conflict *store.Conflict
-	is.True(errors.As(m.Commit(ctx, table.held...), &conflict)) // the write comes, and is refused
+	is.True(errors.As(m.Commit(ctx, table.held...), &conflict)) // the delayed commit conflicts
 }
 
 func TestUnreachableStoreLeavesOutcomeUnknownUntilResolved(t *testing.T) {
@@ -164,9 +164,9 @@
 	is.Equal(changes[1].GetAtMs(), int64(77))
 }
 
-// TestOperatorsRacing lets operators change two services through a table that goes away, loses
-// answers and delivers commits late. The oracle is the log itself: every change told as made is
-// in it once, none told as not made ever is, and each replaces the version it expected.
+// TestOperatorsRacing has operators change two services through a table that becomes unreachable, loses
+// responses and delays commits. The oracle is the log: each change reported as applied is in it once, no
+// change reported as voided is, and each change replaced the version that it expected.
 func TestOperatorsRacing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
