--- a/logs/budget.go
+++ b/logs/budget.go
@@ -12,10 +12,10 @@
 	clock     clock.Clock
 	perSecond int
 
-	mu      sync.Mutex
-	second  clock.Millis
-	used    int
-	skipped int
+	mu         sync.Mutex
+	second     clock.Millis
+	used       int
+	suppressed int
 }
 
 // NewBudget returns a budget of so many lines a second.
@@ -34,7 +34,7 @@
 		b.used++
 		return true
 	}
-	b.skipped++
+	b.suppressed++
 	return false
 }
 
@@ -45,6 +45,6 @@
 	if b.clock.Now()/clock.Second == b.second {
 		return 0
 	}
-	count, b.skipped = b.skipped, 0
+	count, b.suppressed = b.suppressed, 0
 	return count
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -27,7 +27,7 @@
 	l = &Log{Logger: logrus.New()}
 	l.SetLevel(lv)
 	l.SetOutput(io.Discard)
-	l.SetFormatter(nothing{}) // the hook formats
+	l.SetFormatter(discardFormatter{}) // the hook formats
 	h.sink = NewSink(out, func(lines uint64) []byte {
 		e := l.WithFields(logrus.Fields{"event": "log_lines_dropped", "lines": lines})
 		e.Time, e.Level = time.Now(), logrus.WarnLevel
@@ -51,11 +51,11 @@
 // Done is closed when the log has ended.
 func (l *Log) Done() <-chan struct{} { return l.sink.Done() }
 
-// nothing formats nothing.
-type nothing struct{}
+// discardFormatter formats nothing.
+type discardFormatter struct{}
 
 // Format implements logrus.Formatter.
-func (nothing) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
+func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
 // A hook formats each entry and hands it to the sink.
 type hook struct {
@@ -69,9 +69,9 @@
 // Fire implements logrus.Hook.
 func (h *hook) Fire(e *logrus.Entry) error {
 	// The entry's own buffer is used again; the line stays in the sink's.
-	plain := *e
-	plain.Buffer = nil
-	b, err := h.formatter.Format(&plain)
+	entry := *e
+	entry.Buffer = nil
+	b, err := h.formatter.Format(&entry)
 	if err != nil {
 		return errors.Wrap(err, "format log line")
 	}
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -15,21 +15,21 @@
 	"github.com/tinladder/tinladder/logs"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
-	free chan struct{}
-	mu   sync.Mutex
-	buf  bytes.Buffer
+// blockedWriter is a reader that takes nothing until it is let go.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-func (s *stuck) text() string {
+func (s *blockedWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.String()
@@ -39,7 +39,7 @@
 // reader go on. Failures are there though ordinary lines came first, and the rest is counted.
 func TestReaderThatStopsHoldsNothingUp(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	l, err := logs.New(out, "info")
 	is.NoErr(err)
 	const lines = 40_000
@@ -56,17 +56,17 @@
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	is.True(m.HeapAlloc < 16*logs.MaxWaiting)
-	close(out.free)
+	close(out.release)
 	l.Close()
 	<-l.Done()
 	text := out.text()
 	is.Equal(strings.Count(text, "event=request_failed"), 1000)
-	is.Equal(toldDropped(text), l.Dropped())
+	is.Equal(reportedDropped(text), l.Dropped())
 	is.Equal(uint64(len(text)), l.Written())
 }
 
-// toldDropped adds up how many lines the log says are missing.
-func toldDropped(text string) (sum uint64) {
+// reportedDropped adds up how many lines the log says are missing.
+func reportedDropped(text string) (sum uint64) {
 	for line := range strings.SplitSeq(text, "\n") {
 		_, after, found := strings.Cut(line, "event=log_lines_dropped")
 		if !found {
@@ -100,8 +100,8 @@
 
 func TestLevelsAndOrder(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
-	close(out.free)
+	out := &blockedWriter{release: make(chan struct{})}
+	close(out.release)
 	l, err := logs.New(out, "info")
 	is.NoErr(err)
 	l.WithField("event", "hidden").Debug()
--- a/logs/sink.go
+++ b/logs/sink.go
@@ -14,15 +14,15 @@
 const (
 	// MaxWaiting bounds the bytes of lines that wait for a slow reader.
 	MaxWaiting = 1 << 20
-	// ordinaryShare is the part of MaxWaiting that ordinary lines may fill, so that failures and
+	// ordinaryDivisor is the part of MaxWaiting that ordinary lines may fill, so that failures and
 	// refusals still find room: one in so many.
-	ordinaryShare = 2
-	// gather is how long lines wait for others, so that many are written by one call.
-	gather clock.Millis = 100
-	// maxWrite bounds one write.
-	maxWrite = 64 << 10
-	// closeWait is how long Close waits for a reader.
-	closeWait clock.Millis = 250
+	ordinaryDivisor = 2
+	// batchDelay is how long lines wait for others, so that many are written by one call.
+	batchDelay clock.Millis = 100
+	// maxWriteBytes bounds one write.
+	maxWriteBytes = 64 << 10
+	// closeTimeout is how long Close waits for a reader.
+	closeTimeout clock.Millis = 250
 )
 
 // A Class says which lines are left out first.
@@ -39,13 +39,13 @@
 // A Sink struct takes lines and writes them in the background. It is safe for concurrent use.
 type Sink struct {
 	out io.Writer
-	// note makes the line that tells of lines left out.
-	note func(lines uint64) []byte
+	// droppedNote makes the line that tells of lines left out.
+	droppedNote func(lines uint64) []byte
 
-	mu      sync.Mutex
-	waiting [][]byte
-	bytes   int
-	missed  uint64
+	mu         sync.Mutex
+	pending    [][]byte
+	bytes      int
+	unreported uint64
 
 	dropped atomic.Uint64
 	written atomic.Uint64
@@ -57,7 +57,7 @@
 
 // NewSink returns a sink that writes to out. Note makes the line that says how many were left out.
 func NewSink(out io.Writer, note func(lines uint64) []byte) *Sink {
-	s := &Sink{out: out, note: note, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	s := &Sink{out: out, droppedNote: note, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -66,16 +66,16 @@
 func (s *Sink) Put(c Class, line []byte) {
 	limit := MaxWaiting
 	if c == Ordinary {
-		limit /= ordinaryShare
+		limit /= ordinaryDivisor
 	}
 	s.mu.Lock()
 	if s.bytes+len(line) > limit {
-		s.missed++
+		s.unreported++
 		s.mu.Unlock()
 		s.dropped.Add(1)
 		return
 	}
-	s.waiting = append(s.waiting, line)
+	s.pending = append(s.pending, line)
 	s.bytes += len(line)
 	s.mu.Unlock()
 	select {
@@ -97,7 +97,7 @@
 // Close writes what waits, if the reader takes it soon, and ends the sink.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.stop) })
-	t := time.NewTimer(closeWait.Duration())
+	t := time.NewTimer(closeTimeout.Duration())
 	defer t.Stop()
 	select {
 	case <-s.done:
@@ -116,17 +116,17 @@
 		select {
 		case <-s.wake:
 		case <-s.stop:
-			s.drain()
+			s.flush()
 			return
 		}
-		s.gather()
-		s.drain()
+		s.waitForBatch()
+		s.flush()
 	}
 }
 
-// gather waits for more lines, but not while the sink ends.
-func (s *Sink) gather() {
-	t := time.NewTimer(gather.Duration())
+// waitForBatch waits for more lines, but not while the sink ends.
+func (s *Sink) waitForBatch() {
+	t := time.NewTimer(batchDelay.Duration())
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -134,10 +134,10 @@
 	}
 }
 
-// drain writes until nothing waits. A reader that has gone loses what is written.
-func (s *Sink) drain() {
+// flush writes until nothing waits. A reader that has gone loses what is written.
+func (s *Sink) flush() {
 	for {
-		b := s.take()
+		b := s.nextBatch()
 		if len(b) == 0 {
 			return
 		}
@@ -146,24 +146,24 @@
 	}
 }
 
-// take returns the next lines to write, and first how many are missing before them.
-func (s *Sink) take() []byte {
+// nextBatch returns the next lines to write, and first how many are missing before them.
+func (s *Sink) nextBatch() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var b []byte
 	n := 0
-	for n < len(s.waiting) && len(b) < maxWrite {
-		b = append(b, s.waiting[n]...)
+	for n < len(s.pending) && len(b) < maxWriteBytes {
+		b = append(b, s.pending[n]...)
 		n++
 	}
 	s.bytes -= len(b)
-	s.waiting = s.waiting[n:]
-	if len(s.waiting) == 0 {
-		s.waiting = nil // give the memory of a burst back
+	s.pending = s.pending[n:]
+	if len(s.pending) == 0 {
+		s.pending = nil // give the memory of a burst back
 	}
-	if s.missed > 0 {
-		b = append(b, s.note(s.missed)...)
-		s.missed = 0
+	if s.unreported > 0 {
+		b = append(b, s.droppedNote(s.unreported)...)
+		s.unreported = 0
 	}
 	return b
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -159,26 +159,26 @@
 
 // Defaults for what the file leaves out. The bounds are those of the users' platform.
 const (
-	defaultRequests    = 4096
-	defaultBodyBytes   = 64 << 20
-	defaultHeaderBytes = 256 << 10
-	defaultApply       = 2 * clock.Second
-	defaultGrace       = 6 * clock.Second
-	defaultLeave       = 2 * clock.Second
-	defaultValid       = 5 * clock.Second
-	defaultRatio       = 0.2
-	defaultSlack       = 60
-	defaultWindow      = 10 * clock.Second
-	defaultOvershoot   = 0.1
-	defaultQuotaSlack  = 20
+	defaultRequests           = 4096
+	defaultBodyBytes          = 64 << 20
+	defaultHeaderBytes        = 256 << 10
+	defaultApply              = 2 * clock.Second
+	defaultGrace              = 6 * clock.Second
+	defaultLeave              = 2 * clock.Second
+	defaultValid              = 5 * clock.Second
+	defaultRetryRatio         = 0.2
+	defaultRetrySlack         = 60
+	defaultRetryWindow        = 10 * clock.Second
+	defaultWorkspaceOvershoot = 0.1
+	defaultWorkspaceSlack     = 20
 	// defaultColdOvershoot holds cold targets to what they withstand.
-	defaultColdOvershoot = 1
-	defaultQuotaWindow   = 5 * clock.Second
-	leastRevoke          = 1 * clock.Second
-	defaultCores         = 1
-	defaultLinkMbps      = 1000
-	minKeyBytes          = 16
-	hashBytes            = 32
+	defaultColdOvershoot   = 1
+	defaultWorkspaceWindow = 5 * clock.Second
+	minRevoke              = 1 * clock.Second
+	defaultCores           = 1
+	defaultLinkMbps        = 1000
+	minKeyBytes            = 16
+	hashBytes              = 32
 )
 
 // Defaults returns the settings of an empty file.
@@ -187,8 +187,8 @@
 		Bounds: Bounds{
 			Apply: Span(defaultApply), Grace: Span(defaultGrace), Leave: Span(defaultLeave), Valid: Span(defaultValid),
 		},
-		Retries:    Retries{Ratio: defaultRatio, Slack: defaultSlack, Window: Span(defaultWindow)},
-		Workspaces: Workspaces{Window: Span(defaultQuotaWindow), Overshoot: defaultOvershoot, Slack: defaultQuotaSlack},
+		Retries:    Retries{Ratio: defaultRetryRatio, Slack: defaultRetrySlack, Window: Span(defaultRetryWindow)},
+		Workspaces: Workspaces{Window: Span(defaultWorkspaceWindow), Overshoot: defaultWorkspaceOvershoot, Slack: defaultWorkspaceSlack},
 		Cold:       Cold{Overshoot: defaultColdOvershoot},
 		Limits:     Limits{Requests: defaultRequests, BodyBytes: defaultBodyBytes, HeaderBytes: defaultHeaderBytes},
 		Capacity:   Capacity{Cores: defaultCores, LinkMbps: defaultLinkMbps},
@@ -213,62 +213,62 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &check{}
+	c := &validator{}
 	for _, k := range meta.Undecoded() {
 		c.add(k.String(), "no such key")
 	}
-	s.check(c)
+	s.validate(c)
 	return s, c.err()
 }
 
-// A check gathers what is wrong.
-type check struct{ wrong []string }
+// A validator gathers what is wrong.
+type validator struct{ problems []string }
 
-func (c *check) add(key, format string, args ...any) {
-	c.wrong = append(c.wrong, key+": "+fmt.Sprintf(format, args...))
+func (c *validator) add(key, format string, args ...any) {
+	c.problems = append(c.problems, key+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *check) err() error {
-	if len(c.wrong) == 0 {
+func (c *validator) err() error {
+	if len(c.problems) == 0 {
 		return nil
 	}
-	return errors.Newf("%s", strings.Join(c.wrong, "; "))
+	return errors.Newf("%s", strings.Join(c.problems, "; "))
 }
 
-func (c *check) name(key, s string) {
+func (c *validator) name(key, s string) {
 	if err := ident.CheckName(s); err != nil {
 		c.add(key, "%v", err)
 	}
 }
 
-func (c *check) address(key, s string) {
+func (c *validator) address(key, s string) {
 	if a, err := netip.ParseAddrPort(s); err != nil || a.Port() == 0 {
 		c.add(key, "%q is not an IP number and port", s)
 	}
 }
 
-func (c *check) optional(key, s string) {
+func (c *validator) optionalAddress(key, s string) {
 	if s != "" {
 		c.address(key, s)
 	}
 }
 
-func (c *check) positive(key string, n int64) {
+func (c *validator) positive(key string, n int64) {
 	if n <= 0 {
 		c.add(key, "%d is not positive", n)
 	}
 }
 
-func (s *Settings) check(c *check) {
+func (s *Settings) validate(c *validator) {
 	c.name("node.name", s.Node.Name)
 	c.name("node.hall", s.Node.Hall)
 	c.address("node.callers", s.Node.Callers)
 	c.address("node.peers", s.Node.Peers)
-	c.optional("node.advertise_peers", s.Node.AdvertisePeers)
-	c.optional("node.directory", s.Node.Directory)
-	c.optional("node.readiness", s.Node.Readiness)
-	c.optional("node.operators", s.Node.Operators)
-	c.optional("node.metrics", s.Node.Metrics)
+	c.optionalAddress("node.advertise_peers", s.Node.AdvertisePeers)
+	c.optionalAddress("node.directory", s.Node.Directory)
+	c.optionalAddress("node.readiness", s.Node.Readiness)
+	c.optionalAddress("node.operators", s.Node.Operators)
+	c.optionalAddress("node.metrics", s.Node.Metrics)
 	for i, a := range s.Fleet.Seeds {
 		c.address(fmt.Sprintf("fleet.seeds[%d]", i), a)
 	}
@@ -278,19 +278,19 @@
 	case !s.Store.Embedded:
 		c.address("store.address", s.Store.Address)
 	}
-	s.checkBounds(c)
-	s.checkSecrets(c)
+	s.validateBounds(c)
+	s.validateSecrets(c)
 }
 
-func (s *Settings) checkBounds(c *check) {
+func (s *Settings) validateBounds(c *validator) {
 	c.positive("bounds.apply", int64(s.Bounds.Apply))
 	c.positive("bounds.grace", int64(s.Bounds.Grace))
 	c.positive("bounds.leave", int64(s.Bounds.Leave))
 	c.positive("bounds.valid", int64(s.Bounds.Valid))
 	c.positive("retries.window", int64(s.Retries.Window))
 	c.positive("workspaces.window", int64(s.Workspaces.Window))
-	if r := s.Bounds.Revoke.Millis(); r != 0 && r < leastRevoke {
-		c.add("bounds.revoke", "%d ms is less than word of the store takes; at least %d", r, leastRevoke)
+	if r := s.Bounds.Revoke.Millis(); r != 0 && r < minRevoke {
+		c.add("bounds.revoke", "%d ms is less than word of the store takes; at least %d", r, minRevoke)
 	}
 	if !(s.Workspaces.Overshoot >= 0) || !(s.Workspaces.Slack >= 0) {
 		c.add("workspaces", "overshoot %v and slack %v may not be negative", s.Workspaces.Overshoot, s.Workspaces.Slack)
@@ -309,7 +309,7 @@
 	}
 }
 
-func (s *Settings) checkSecrets(c *check) {
+func (s *Settings) validateSecrets(c *validator) {
 	for i, k := range s.Fleet.Keys {
 		if b, err := hex.DecodeString(k); err != nil || len(b) < minKeyBytes {
 			c.add(fmt.Sprintf("fleet.keys[%d]", i), "want at least %d bytes as hex", minKeyBytes)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinladder/tinladder/settings"
 )
 
-const good = `
+const validSettings = `
 [node]
 name = "n1"
 hall = "h1"
@@ -25,9 +25,9 @@
 admin_token_sha256 = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 `
 
-func TestGoodSettings(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse(good)
+	s, err := settings.Parse(validSettings)
 	is.NoErr(err)
 	is.Equal(s.Bounds.Grace.Millis(), 6*clock.Second)
 	is.Equal(s.Node.PeersAddress(), "127.0.0.1:7002")
@@ -37,12 +37,12 @@
 
 func TestMechanismsCanBeSwitchedOff(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse(good + "\n[trial]\noff = [\"hedge\", \"bytes\"]\n")
+	s, err := settings.Parse(validSettings + "\n[trial]\noff = [\"hedge\", \"bytes\"]\n")
 	is.NoErr(err)
 	is.Equal(s.Trial.Off, []string{"hedge", "bytes"})
 }
 
-func TestEveryWrongKeyIsNamed(t *testing.T) {
+func TestErrorNamesEachInvalidKey(t *testing.T) {
 	cases := []struct{ old, spoiled, named string }{
 		{`name = "n1"`, `name = "n/1"`, "node.name"},
 		{`hall = "h1"`, ``, "node.hall"},
@@ -66,8 +66,8 @@
 	for _, c := range cases {
 		t.Run(c.named, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.old, c.spoiled, 1)
-			is.True(text != good)
+			text := strings.Replace(validSettings, c.old, c.spoiled, 1)
+			is.True(text != validSettings)
 			_, err := settings.Parse(text)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), c.named))
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestAllThatIsWrongIsNamedAtOnce(t *testing.T) {
+func TestErrorNamesAllInvalidKeys(t *testing.T) {
 	is := is.New(t)
 	_, err := settings.Parse("")
 	is.True(err != nil)
@@ -85,7 +85,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("[node")
 	f.Fuzz(func(_ *testing.T, text string) {
 		if s, err := settings.Parse(text); err == nil {
