--- a/node/lift.go
+++ b/node/lift.go
@@ -24,9 +24,9 @@
 		if !op.may(workspaceIn(c.Service)) {
 			continue
 		}
-		_, since, _ := s.node.suspects.list.Known(c.Fingerprint)
+		_, since, _ := s.node.suspects.list.Get(c.Fingerprint)
 		q := &tlv1.Quarantined{
-			Print: c.Fingerprint.String(), Service: c.Service, What: c.What, Held: c.Held(), Trials: uint32(c.Trials), KnownBy: c.Scope.String(),
+			Print: c.Fingerprint.String(), Service: c.Service, What: c.Description, Held: c.Held(), Trials: uint32(c.Trials), KnownBy: c.Scope.String(),
 			AgeMs: int64(now - since), TrialMs: int64(s.node.suspects.list.Decide(c.Fingerprint).RetryAfter),
 		}
 		for _, x := range c.Crashes {
@@ -49,7 +49,7 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	n := s.node
-	c, _, found := n.suspects.list.Known(p)
+	c, _, found := n.suspects.list.Get(p)
 	if !found || !op.may(workspaceIn(c.Service)) {
 		return nil, connect.NewError(connect.CodeNotFound, errNotHeld)
 	}
@@ -57,7 +57,7 @@
 	defer cancel()
 	stored := true
 	for _, like := range n.suspects.list.All() {
-		if like.What == c.What && like.Service == c.Service { // what it is known by besides
+		if like.Description == c.Description && like.Service == c.Service { // what it is known by besides
 			n.suspects.clear(like.Fingerprint, op.name)
 			err := n.suspects.save(ctx, like.Fingerprint, 0)
 			stored = stored && err == nil
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -37,7 +37,7 @@
 			s.node.log.WithFields(logrus.Fields{"event": "record_unreadable", "key": x.Key, "version": x.Version, "from": from, "error": err}).Warn()
 			continue
 		}
-		for p, change := range s.list.Take(x.Key, row) {
+		for p, change := range s.list.MergeRow(x.Key, row) {
 			if change == quarantine.Unchanged {
 				continue
 			}
@@ -62,7 +62,7 @@
 // claim says whether a request of the fingerprint may be tried here and now. Of all nodes one may, which the store decides; while
 // that is away, the one that is first for it among those that this node hears.
 func (s *suspects) claim(ctx context.Context, p quarantine.Fingerprint, trials int) bool {
-	if !s.list.Tried(p, trials) {
+	if !s.list.StartTrial(p, trials) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout.Duration())
@@ -91,7 +91,7 @@
 // number, that the row names already.
 func (s *suspects) save(ctx context.Context, p quarantine.Fingerprint, trials int) (err error) {
 	defer func() { err = errors.Wrapf(err, "save crash reports of request %s", p) }()
-	key := quarantine.RowOf(p)
+	key := quarantine.RowKey(p)
 	row := store.Row{Key: key}
 	if held, found := s.node.records.sets[store.Suspects].Get(key); found {
 		row.Value, row.Version = held.Value, held.Version
@@ -118,7 +118,7 @@
 			continue
 		}
 		if err == nil {
-			s.list.Wrote(p)
+			s.list.MarkStored(p)
 			s.node.duty.look(store.Suspects)
 		}
 		return err
@@ -154,7 +154,7 @@
 		cancel()
 		switch {
 		case errors.Is(err, store.ErrInvalid): // it would be refused again for good
-			s.list.Unstorable(p)
+			s.list.ClearDirty(p)
 			s.node.log.WithFields(logrus.Fields{"event": "suspect_refused", "print": p, "error": err}).Error()
 		case err != nil:
 			s.node.log.WithFields(logrus.Fields{"event": "suspect_not_stored", "print": p, "error": err}).Warn()
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -36,7 +36,7 @@
 // when a trial is due, by one node of the fleet.
 func (s *suspects) judge(ctx context.Context, x *exchange) (quarantine.Verdict, *Problem) {
 	v, p := s.decide(x)
-	if !v.Held || v.Due && s.claimAll(ctx, x) {
+	if !v.Held || v.TrialDue && s.claimAll(ctx, x) {
 		return v, nil
 	}
 	return v, s.problem(p)
@@ -66,13 +66,13 @@
 
 // crashed takes in that the target's process ended while it ran the request, which was sent to it at the time.
 func (s *suspects) crashed(x *exchange, target ident.Target, from clock.Millis) {
-	var updates []quarantine.Case
+	var updates []quarantine.Suspect
 	for b, p := range x.fingerprints() {
-		c := quarantine.Case{
-			Fingerprint: p, Scope: quarantine.Scope(b), Service: x.service.name, What: describe(x.r),
-			Crashes: []quarantine.Crash{{Target: target, From: from, At: s.node.clock.Now()}},
+		c := quarantine.Suspect{
+			Fingerprint: p, Scope: quarantine.Scope(b), Service: x.service.name, Description: describe(x.r),
+			Crashes: []quarantine.Crash{{Target: target, SentAt: from, At: s.node.clock.Now()}},
 		}
-		change := s.list.Crashed(c)
+		change := s.list.AddCrashes(c)
 		if change == quarantine.Unchanged {
 			continue
 		}
@@ -95,13 +95,13 @@
 }
 
 // spread tells other nodes what is known of a request by each of its fingerprints.
-func (s *suspects) spread(svc *service, updates []quarantine.Case) {
+func (s *suspects) spread(svc *service, updates []quarantine.Suspect) {
 	m := &tlv1.Suspects{}
 	wide := false
 	for i, c := range updates {
 		wide = wide || c.Recurring()
 		if i > 0 {
-			c.Service, c.What = "", ""
+			c.Service, c.Description = "", ""
 		}
 		m.Suspects = append(m.Suspects, quarantine.ToWire(c, s.node.clock.Now()))
 	}
@@ -131,7 +131,7 @@
 }
 
 // lift drops the crash reports of the request here, and has them dropped in the store. It says whether there were any.
-func (s *suspects) lift(p quarantine.Fingerprint, by string) (was quarantine.Case, found bool) {
+func (s *suspects) lift(p quarantine.Fingerprint, by string) (was quarantine.Suspect, found bool) {
 	if was, found = s.list.Clear(p); found {
 		s.logLifted(was, by)
 		s.markDirty(p)
@@ -180,8 +180,8 @@
 			continue
 		}
 		first := m.GetSuspects()[0]
-		c.Service, c.What = first.GetService(), first.GetWhat()
-		if change := s.list.Crashed(c); change != quarantine.Unchanged {
+		c.Service, c.Description = first.GetService(), first.GetWhat()
+		if change := s.list.AddCrashes(c); change != quarantine.Unchanged {
 			s.logChange(change, c.Fingerprint, "peer")
 		}
 	}
@@ -189,31 +189,31 @@
 
 // tick forgets what has grown old.
 func (s *suspects) tick() {
-	s.list.Forget()
+	s.list.Expire()
 }
 
 // logChange writes what changed to the log and the night's report, and returns what is known.
-func (s *suspects) logChange(change quarantine.Change, p quarantine.Fingerprint, by string) quarantine.Case {
-	c, _, _ := s.list.Known(p)
+func (s *suspects) logChange(change quarantine.Change, p quarantine.Fingerprint, by string) quarantine.Suspect {
+	c, _, _ := s.list.Get(p)
 	s.node.metrics.crashed(change)
 	s.node.log.WithFields(logrus.Fields{
-		"event": "request_" + change.String(), "print": p, "known_by": c.Scope, "service": c.Service, "what": c.What, "crashes": len(c.Crashes),
+		"event": "request_" + change.String(), "print": p, "known_by": c.Scope, "service": c.Service, "what": c.Description, "crashes": len(c.Crashes),
 		"targets": targetsOf(c), "trials": c.Trials, "by": by,
 	}).Warn()
 	if change == quarantine.Quarantined && by == "seen" {
-		s.node.events.add(&tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_REQUEST_HELD, Workspace: workspaceIn(c.Service), Service: nameIn(c.Service), Reason: c.What + " crashed " + targetsOf(c)})
+		s.node.events.add(&tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_REQUEST_HELD, Workspace: workspaceIn(c.Service), Service: nameIn(c.Service), Reason: c.Description + " crashed " + targetsOf(c)})
 	}
 	return c
 }
 
-func (s *suspects) logLifted(was quarantine.Case, by string) {
+func (s *suspects) logLifted(was quarantine.Suspect, by string) {
 	s.node.log.WithFields(logrus.Fields{
-		"event": "request_lifted", "print": was.Fingerprint, "known_by": was.Scope, "service": was.Service, "what": was.What, "crashes": len(was.Crashes),
+		"event": "request_lifted", "print": was.Fingerprint, "known_by": was.Scope, "service": was.Service, "what": was.Description, "crashes": len(was.Crashes),
 		"held": was.Held(), "trials": was.Trials, "by": by,
 	}).Warn()
 }
 
-func targetsOf(c quarantine.Case) string {
+func targetsOf(c quarantine.Suspect) string {
 	names := make([]string, len(c.Crashes))
 	for i, x := range c.Crashes {
 		names[i] = string(x.Target)
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -84,7 +84,7 @@
 func (f *modelFleet) send(i int) {
 	n := f.nodes[i]
 	v := n.list.Decide(testFingerprint)
-	if v.Held && (!v.Due || !f.claimTrial(n, v.Trials+1)) {
+	if v.Held && (!v.TrialDue || !f.claimTrial(n, v.Trials+1)) {
 		return
 	}
 	if f.clock.Now()-n.startedAt > propagationBound {
@@ -95,7 +95,7 @@
 
 // claimTrial reports whether the node may make the trial, as decided by the store.
 func (f *modelFleet) claimTrial(n *modelNode, trials int) bool {
-	if !n.list.Tried(testFingerprint, trials) || quarantine.TrialsIn(f.row().row, testFingerprint) >= trials {
+	if !n.list.StartTrial(testFingerprint, trials) || quarantine.TrialsIn(f.row().row, testFingerprint) >= trials {
 		return false
 	}
 	f.save(n)
@@ -103,13 +103,13 @@
 }
 
 func (f *modelFleet) row() modelRow {
-	return f.rows[quarantine.RowOf(testFingerprint)]
+	return f.rows[quarantine.RowKey(testFingerprint)]
 }
 
 func (f *modelFleet) save(n *modelNode) {
 	was := f.row()
-	f.rows[quarantine.RowOf(testFingerprint)] = modelRow{row: n.list.Row(testFingerprint, was.row), version: was.version + 1, at: f.clock.Now()}
-	n.list.Wrote(testFingerprint)
+	f.rows[quarantine.RowKey(testFingerprint)] = modelRow{row: n.list.Row(testFingerprint, was.row), version: was.version + 1, at: f.clock.Now()}
+	n.list.MarkStored(testFingerprint)
 }
 
 // step crashes targets, and lets nodes read and write the store.
@@ -126,7 +126,7 @@
 		for key, r := range f.rows {
 			if n.seen[key] < r.version && now-r.at >= storeDelay {
 				n.seen[key] = r.version
-				if n.list.Take(key, r.row)[testFingerprint] == quarantine.Quarantined {
+				if n.list.MergeRow(key, r.row)[testFingerprint] == quarantine.Quarantined {
 					n.list.MarkDirty(testFingerprint)
 				}
 			}
@@ -143,9 +143,9 @@
 	f.crashes = append(f.crashes, f.clock.Now())
 	n := f.nodes[i]
 	report := crashReport(f.clock, fmt.Sprint("t", len(f.crashes)))
-	report.Crashes[0].From = s.at
-	n.list.Crashed(report)
-	known, _, _ := n.list.Known(testFingerprint)
+	report.Crashes[0].SentAt = s.at
+	n.list.AddCrashes(report)
+	known, _, _ := n.list.Get(testFingerprint)
 	alone := true
 	for j, other := range f.nodes {
 		if j == i || f.groups[j] != f.groups[i] {
@@ -154,7 +154,7 @@
 		alone = false
 		if f.rand.IntN(20) > 0 { // 5 % of datagrams are lost
 			c, _ := quarantine.FromWire(quarantine.ToWire(known, f.clock.Now()), f.clock.Now())
-			other.list.Crashed(c)
+			other.list.AddCrashes(c)
 		}
 	}
 	if known.Recurring() || alone {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -37,8 +37,8 @@
 // A Crash struct is one target that crashed while it ran the request.
 type Crash struct {
 	Target ident.Target
-	// From is when the request was sent to it, and At when it crashed.
-	From, At clock.Millis
+	// SentAt is when the request was sent to it, and At when it crashed.
+	SentAt, At clock.Millis
 	// AtIsUpperBound says that At is when the crash was reported: it was no later than that.
 	AtIsUpperBound bool
 }
@@ -52,31 +52,31 @@
 	return max(diff, -diff) < sameCrashWindow || c.AtIsUpperBound && diff <= 0 || other.AtIsUpperBound && diff >= 0
 }
 
-// A Case struct is all that is known of one request under which targets crashed.
-type Case struct {
+// A Suspect struct is all that is known of one request under which targets crashed.
+type Suspect struct {
 	Fingerprint Fingerprint
 	// Scope is how much of the request the fingerprint covers.
 	Scope Scope
-	// Service and What name it for operators.
-	Service, What string
-	Crashes       []Crash
+	// Service and Description name it for operators.
+	Service, Description string
+	Crashes              []Crash
 	// Trials is how often it was let through since it is held back.
 	Trials int
 }
 
 // Held says whether the request is held back.
-func (c *Case) Held() bool {
+func (c *Suspect) Held() bool {
 	return len(c.Crashes) >= crashThreshold
 }
 
 // Recurring says whether so many crashed that it is hardly chance.
-func (c *Case) Recurring() bool {
+func (c *Suspect) Recurring() bool {
 	return len(c.Crashes) >= singleAttemptThreshold
 }
 
 // sequentialCrashes counts crashes of which each target had the request only after the one before had crashed. Crashes of
 // overlapping attempts count once: a shared cause, such as a hall's power, ends many targets at a time.
-func (c *Case) sequentialCrashes() (count int) {
+func (c *Suspect) sequentialCrashes() (count int) {
 	var timed []Crash
 	for _, x := range c.Crashes {
 		if x.AtIsUpperBound {
@@ -89,7 +89,7 @@
 	for i := 0; i < len(timed); {
 		last := timed[i].At
 		count++
-		for i++; i < len(timed) && timed[i].From < last; {
+		for i++; i < len(timed) && timed[i].SentAt < last; {
 			i++
 		}
 	}
@@ -101,8 +101,8 @@
 	// Crashes counts the targets that crashed under the request, and SequentialCrashes those that crashed one after the
 	// other. With none, it is like any other.
 	Crashes, SequentialCrashes int
-	// Held requests are not sent, unless a trial is Due.
-	Held, Due bool
+	// Held requests are not sent, unless TrialDue is set.
+	Held, TrialDue bool
 	// RetryAfter is when the next trial is due.
 	RetryAfter clock.Millis
 	Trials     int
@@ -142,7 +142,7 @@
 }
 
 type entry struct {
-	Case
+	Suspect
 	// since is when this node last learned of a crash or a trial.
 	since clock.Millis
 	// clearedAt is when it was last cleared, 0 if never.
@@ -182,7 +182,7 @@
 	v = Verdict{Crashes: len(e.Crashes), SequentialCrashes: e.sequentialCrashes(), Held: e.Held(), Trials: e.Trials}
 	if v.Held {
 		v.RetryAfter = max(e.since+v.trialDelay()-l.clock.Now(), 0)
-		v.Due = v.RetryAfter == 0
+		v.TrialDue = v.RetryAfter == 0
 	}
 	return v
 }
@@ -196,8 +196,8 @@
 	return trialDelays[min(v.Trials, len(trialDelays)-1)]
 }
 
-// Crashed takes in that targets crashed while they ran the request, as seen here or told by another node.
-func (l *List) Crashed(c Case) Change {
+// AddCrashes takes in that targets crashed while they ran the request, as seen here or told by another node.
+func (l *List) AddCrashes(c Suspect) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(&c)
@@ -241,15 +241,15 @@
 }
 
 // entry returns the request's entry, making it if there is none.
-func (l *List) entry(c *Case) *entry {
+func (l *List) entry(c *Suspect) *entry {
 	e := l.entries[c.Fingerprint]
 	if e == nil {
 		l.evictIfFull()
-		e = &entry{Case: Case{Fingerprint: c.Fingerprint, Scope: c.Scope}}
+		e = &entry{Suspect: Suspect{Fingerprint: c.Fingerprint, Scope: c.Scope}}
 		l.entries[c.Fingerprint] = e
 		l.size.Store(int32(len(l.entries)))
 	}
-	e.Service, e.What = cmp.Or(e.Service, c.Service), cmp.Or(e.What, c.What)
+	e.Service, e.Description = cmp.Or(e.Service, c.Service), cmp.Or(e.Description, c.Description)
 	return e
 }
 
@@ -280,9 +280,9 @@
 	l.size.Store(int32(len(l.entries)))
 }
 
-// Tried notes that the request is let through once more. It says whether that is so by what is known here: another node
+// StartTrial notes that the request is let through once more. It says whether that is so by what is known here: another node
 // may have let it through just now.
-func (l *List) Tried(fp Fingerprint, trials int) bool {
+func (l *List) StartTrial(fp Fingerprint, trials int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[fp]
@@ -295,14 +295,14 @@
 
 // Clear drops the crash reports of a request: a target has answered it well, which a request that crashes its targets
 // never sees, or an operator says so. It returns what was known, and whether there was anything.
-func (l *List) Clear(fp Fingerprint) (was Case, found bool) {
+func (l *List) Clear(fp Fingerprint) (was Suspect, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
-		return Case{}, false
+		return Suspect{}, false
 	}
-	was = e.Case
+	was = e.Suspect
 	e.clear(l.clock.Now())
 	return was, true
 }
@@ -311,25 +311,25 @@
 	e.Crashes, e.Trials, e.since, e.clearedAt = nil, 0, now, now
 }
 
-// Known returns what is known of the request.
-func (l *List) Known(fp Fingerprint) (c Case, since clock.Millis, found bool) {
+// Get returns what is known of the request.
+func (l *List) Get(fp Fingerprint) (c Suspect, since clock.Millis, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
-		return Case{}, 0, false
+		return Suspect{}, 0, false
 	}
 	return e.clone(), e.since, true
 }
 
-func (e *entry) clone() Case {
-	c := e.Case
+func (e *entry) clone() Suspect {
+	c := e.Suspect
 	c.Crashes = slices.Clone(c.Crashes)
 	return c
 }
 
 // All returns all requests under which targets crashed, in the order of their fingerprints.
-func (l *List) All() (list []Case) {
+func (l *List) All() (list []Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
@@ -337,13 +337,13 @@
 			list = append(list, e.clone())
 		}
 	}
-	slices.SortFunc(list, func(a, b Case) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
+	slices.SortFunc(list, func(a, b Suspect) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return list
 }
 
-// Forget drops what has grown old: crashes that were not enough, and that a request was cleared. What is held back stays
+// Expire drops what has grown old: crashes that were not enough, and that a request was cleared. What is held back stays
 // until a trial or an operator clears it.
-func (l *List) Forget() {
+func (l *List) Expire() {
 	if l.Empty() {
 		return
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -17,10 +17,10 @@
 var testFingerprint = quarantine.FingerprintsOf(&testRequest)[quarantine.ScopeRequest]
 
 // crashReport returns a report of a crash that happens now.
-func crashReport(c clock.Clock, target string) quarantine.Case {
-	return quarantine.Case{
-		Fingerprint: testFingerprint, Service: "desk", What: "GET example/a/b",
-		Crashes: []quarantine.Crash{{Target: ident.Target(target), From: c.Now(), At: c.Now()}},
+func crashReport(c clock.Clock, target string) quarantine.Suspect {
+	return quarantine.Suspect{
+		Fingerprint: testFingerprint, Service: "desk", Description: "GET example/a/b",
+		Crashes: []quarantine.Crash{{Target: ident.Target(target), SentAt: c.Now(), At: c.Now()}},
 	}
 }
 
@@ -28,7 +28,7 @@
 func newHeldList(c clock.Clock) *quarantine.List {
 	l := quarantine.New(c)
 	for i := range crashThreshold {
-		l.Crashed(crashReport(c, fmt.Sprint("t", i)))
+		l.AddCrashes(crashReport(c, fmt.Sprint("t", i)))
 	}
 	return l
 }
@@ -38,15 +38,15 @@
 	c := clock.NewManual(1000)
 	l := quarantine.New(c)
 	is.True(l.Empty())
-	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected)
-	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Unchanged) // another request failed by the same crash
-	is.True(!l.Decide(testFingerprint).SingleAttempt())            // it may have been in flight by coincidence
-	is.Equal(l.Crashed(crashReport(c, "b")), quarantine.Suspected)
+	is.Equal(l.AddCrashes(crashReport(c, "a")), quarantine.Suspected)
+	is.Equal(l.AddCrashes(crashReport(c, "a")), quarantine.Unchanged) // another request failed by the same crash
+	is.True(!l.Decide(testFingerprint).SingleAttempt())               // it may have been in flight by coincidence
+	is.Equal(l.AddCrashes(crashReport(c, "b")), quarantine.Suspected)
 	is.True(l.Decide(testFingerprint).SingleAttempt())
 	is.True(!l.Decide(testFingerprint).Held)
-	is.Equal(l.Crashed(crashReport(c, "c")), quarantine.Quarantined)
+	is.Equal(l.AddCrashes(crashReport(c, "c")), quarantine.Quarantined)
 	v := l.Decide(testFingerprint)
-	is.True(v.Held && !v.Due)
+	is.True(v.Held && !v.TrialDue)
 	is.True(v.RetryAfter > 0)
 	is.Equal(l.Decide(quarantine.Fingerprint{}), quarantine.Verdict{}) // other requests are not affected
 }
@@ -57,7 +57,7 @@
 	c := clock.NewManual(1000)
 	l := quarantine.New(c)
 	for range crashThreshold {
-		l.Crashed(crashReport(c, "a"))
+		l.AddCrashes(crashReport(c, "a"))
 		c.Advance(2 * clock.Second)
 	}
 	is.True(l.Decide(testFingerprint).Held)
@@ -71,20 +71,20 @@
 	l := quarantine.New(c)
 	for i := range 5 {
 		report := crashReport(c, fmt.Sprint("t", i))
-		report.Crashes[0].From -= clock.Millis(10 + i)
+		report.Crashes[0].SentAt -= clock.Millis(10 + i)
 		report.Crashes[0].At += clock.Millis(i % 2)
-		l.Crashed(report)
+		l.AddCrashes(report)
 	}
 	v := l.Decide(testFingerprint)
 	is.Equal(v.SequentialCrashes, 1)
-	is.True(v.Held && v.Due && !v.SingleAttempt())
+	is.True(v.Held && v.TrialDue && !v.SingleAttempt())
 	c.Advance(100)
-	is.True(l.Tried(testFingerprint, 1))
+	is.True(l.StartTrial(testFingerprint, 1))
 	one := crashReport(c, "later")
-	one.Crashes[0].From -= 90
-	is.Equal(l.Crashed(one), quarantine.CrashedAgain)
+	one.Crashes[0].SentAt -= 90
+	is.Equal(l.AddCrashes(one), quarantine.CrashedAgain)
 	v = l.Decide(testFingerprint)
-	is.True(!v.Due && v.SingleAttempt())
+	is.True(!v.TrialDue && v.SingleAttempt())
 }
 
 func TestAGoodAnswerClears(t *testing.T) {
@@ -97,11 +97,11 @@
 	is.True(found)
 	is.Equal(len(was.Crashes), crashThreshold)
 	is.Equal(l.Decide(testFingerprint), quarantine.Verdict{})
-	is.Equal(l.Crashed(old), quarantine.Unchanged) // the report is older than the successful answer
+	is.Equal(l.AddCrashes(old), quarantine.Unchanged) // the report is older than the successful answer
 	_, found = l.Clear(testFingerprint)
 	is.True(!found)
 	c.Advance(1)
-	is.Equal(l.Crashed(crashReport(c, "a")), quarantine.Suspected) // counting starts again
+	is.Equal(l.AddCrashes(crashReport(c, "a")), quarantine.Suspected) // counting starts again
 }
 
 // TestTrialDelaysGrow counts the trials within 90 minutes of a request that crashes its target each time.
@@ -112,11 +112,11 @@
 	var at []clock.Millis
 	began := c.Now()
 	for c.Now()-began < 90*clock.Minute {
-		if v := l.Decide(testFingerprint); v.Due {
-			is.True(l.Tried(testFingerprint, v.Trials+1))
-			is.True(!l.Tried(testFingerprint, v.Trials+1)) // a concurrent request
+		if v := l.Decide(testFingerprint); v.TrialDue {
+			is.True(l.StartTrial(testFingerprint, v.Trials+1))
+			is.True(!l.StartTrial(testFingerprint, v.Trials+1)) // a concurrent request
 			at = append(at, c.Now()-began)
-			is.Equal(l.Crashed(crashReport(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
+			is.Equal(l.AddCrashes(crashReport(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
 		}
 		c.Advance(100)
 	}
@@ -134,12 +134,12 @@
 	for i := range 10_000 {
 		report := crashReport(c, "t")
 		report.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
-		l.Crashed(report)
+		l.AddCrashes(report)
 	}
 	is.True(len(l.All()) <= 4096)
 	is.True(l.Decide(testFingerprint).Held)
 	c.Advance(11 * clock.Minute)
-	l.Forget()
+	l.Expire()
 	is.Equal(len(l.All()), 1)
 }
 
@@ -151,24 +151,24 @@
 	is.True(here.MarkDirty(testFingerprint))
 	is.Equal(here.Dirty(), []quarantine.Fingerprint{testFingerprint})
 	row := here.Row(testFingerprint, nil)
-	here.Wrote(testFingerprint)
+	here.MarkStored(testFingerprint)
 	is.Equal(len(here.Dirty()), 0)
-	key := quarantine.RowOf(testFingerprint)
-	is.Equal(there.Take(key, row)[testFingerprint], quarantine.Quarantined)
-	is.Equal(there.Take(key, row)[testFingerprint], quarantine.Unchanged)
-	is.Equal(here.Take(key, row)[testFingerprint], quarantine.Unchanged)
+	key := quarantine.RowKey(testFingerprint)
+	is.Equal(there.MergeRow(key, row)[testFingerprint], quarantine.Quarantined)
+	is.Equal(there.MergeRow(key, row)[testFingerprint], quarantine.Unchanged)
+	is.Equal(here.MergeRow(key, row)[testFingerprint], quarantine.Unchanged)
 
-	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.Unchanged) // late report of a crash that is in the row
+	is.Equal(there.AddCrashes(crashReport(c, "t0")), quarantine.Unchanged) // late report of a crash that is in the row
 	c.Advance(5 * clock.Second)
-	is.Equal(there.Crashed(crashReport(c, "t0")), quarantine.CrashedAgain) // the target restarted and crashed again
+	is.Equal(there.AddCrashes(crashReport(c, "t0")), quarantine.CrashedAgain) // the target restarted and crashed again
 
 	there.Clear(testFingerprint)
 	is.True(there.MarkDirty(testFingerprint))
-	there.Take(key, row) // the row is older than the clearing
+	there.MergeRow(key, row) // the row is older than the clearing
 	is.True(!there.Decide(testFingerprint).Held)
 	row = there.Row(testFingerprint, row)
 	is.Equal(len(row.GetSuspects()), 0)
-	here.Take(key, row)
+	here.MergeRow(key, row)
 	is.True(!here.Decide(testFingerprint).Held)
 }
 
@@ -177,13 +177,13 @@
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	here, there := quarantine.New(c), quarantine.New(c)
-	here.Crashed(crashReport(c, "a"))
-	here.Crashed(crashReport(c, "b"))
-	there.Crashed(crashReport(c, "c"))
-	key := quarantine.RowOf(testFingerprint)
-	is.Equal(there.Take(key, here.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
+	here.AddCrashes(crashReport(c, "a"))
+	here.AddCrashes(crashReport(c, "b"))
+	there.AddCrashes(crashReport(c, "c"))
+	key := quarantine.RowKey(testFingerprint)
+	is.Equal(there.MergeRow(key, here.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
 	is.True(there.MarkDirty(testFingerprint))
-	is.Equal(here.Take(key, there.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
+	is.Equal(here.MergeRow(key, there.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
 }
 
 // TestAFullRowClearsNothing fills a row until it drops a request. A request missing from a full row was not cleared.
@@ -192,17 +192,17 @@
 	c := clock.NewManual(1000)
 	l := newHeldList(c)
 	row := l.Row(testFingerprint, nil)
-	l.Wrote(testFingerprint)
+	l.MarkStored(testFingerprint)
 	for i := range 8 {
 		other := crashReport(c, "t")
 		other.Fingerprint = testFingerprint
 		other.Fingerprint[15] = byte(i)
 		other.Fingerprint[14]++
-		l.Crashed(other)
+		l.AddCrashes(other)
 		row = l.Row(other.Fingerprint, row)
 	}
 	is.Equal(len(row.GetSuspects()), 8)
-	l.Take(quarantine.RowOf(testFingerprint), row)
+	l.MergeRow(quarantine.RowKey(testFingerprint), row)
 	is.True(l.Decide(testFingerprint).Held)
 }
 
@@ -221,7 +221,7 @@
 	for i := range 1000 {
 		report := crashReport(c, "t")
 		report.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
-		l.Crashed(report)
+		l.AddCrashes(report)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -16,8 +16,8 @@
 	maxPerRow = 8
 )
 
-// RowOf names the store's row that a request is kept in.
-func RowOf(fp Fingerprint) string {
+// RowKey names the store's row that a request is kept in.
+func RowKey(fp Fingerprint) string {
 	return fmt.Sprintf("%02x", fp[0]%rowCount)
 }
 
@@ -61,13 +61,13 @@
 		}
 		// A node that has just started knows less than the row, and must not take anything back.
 		if c, ok := FromWire(s, l.clock.Now()); ok && !l.clearPending(c) {
-			l.Crashed(c)
+			l.AddCrashes(c)
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[fp]; e != nil && len(e.Crashes) > 0 {
-		next.Suspects = append(next.Suspects, ToWire(e.Case, ageUnknown))
+		next.Suspects = append(next.Suspects, ToWire(e.Suspect, ageUnknown))
 	}
 	if excess := len(next.GetSuspects()) - maxPerRow; excess > 0 {
 		next.Suspects = next.GetSuspects()[excess:]
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// Wrote notes that the store has the row as it was written with this request.
-func (l *List) Wrote(fp Fingerprint) {
+// MarkStored notes that the store has the row as it was written with this request.
+func (l *List) MarkStored(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[fp]; e != nil {
@@ -94,9 +94,9 @@
 	}
 }
 
-// Unstorable notes that the store does not take the row as it would be written with this request: it is not written again
+// ClearDirty notes that the store does not take the row as it would be written with this request: it is not written again
 // until more is known of the request.
-func (l *List) Unstorable(fp Fingerprint) {
+func (l *List) ClearDirty(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[fp]; e != nil {
@@ -104,19 +104,19 @@
 	}
 }
 
-// Take takes in a row of the store: what it names, and that what it no longer names is cleared. It returns what changed.
-func (l *List) Take(key string, row *tlv1.Suspects) (changes map[Fingerprint]Change) {
+// MergeRow takes in a row of the store: what it names, and that what it no longer names is cleared. It returns what changed.
+func (l *List) MergeRow(key string, row *tlv1.Suspects) (changes map[Fingerprint]Change) {
 	changes = map[Fingerprint]Change{}
 	present := map[Fingerprint]bool{}
 	now := l.clock.Now()
 	for _, s := range row.GetSuspects() {
 		c, ok := FromWire(s, now)
-		if !ok || RowOf(c.Fingerprint) != key {
+		if !ok || RowKey(c.Fingerprint) != key {
 			continue
 		}
 		present[c.Fingerprint] = true
 		if !l.clearPending(c) {
-			changes[c.Fingerprint] = l.Crashed(c)
+			changes[c.Fingerprint] = l.AddCrashes(c)
 			l.noteStored(c)
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // clearPending says whether the request was cleared here, and the store is still to learn of that.
-func (l *List) clearPending(c Case) bool {
+func (l *List) clearPending(c Suspect) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[c.Fingerprint]
@@ -135,7 +135,7 @@
 }
 
 // noteStored notes that the store names the request with these crashes.
-func (l *List) noteStored(c Case) {
+func (l *List) noteStored(c Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(&c)
@@ -148,7 +148,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for fp, e := range l.entries {
-		if e.stored && !present[fp] && RowOf(fp) == key {
+		if e.stored && !present[fp] && RowKey(fp) == key {
 			e.clear(l.clock.Now())
 			e.stored, e.dirty = false, false
 		}
@@ -159,12 +159,12 @@
 const ageUnknown clock.Millis = -1
 
 // ToWire returns the case as other nodes are told of it now, or with never as the store keeps it.
-func ToWire(c Case, now clock.Millis) *tlv1.Suspect {
-	s := &tlv1.Suspect{Print: c.Fingerprint[:], Service: c.Service, What: c.What, Trials: uint32(c.Trials), Breadth: uint32(c.Scope)}
+func ToWire(c Suspect, now clock.Millis) *tlv1.Suspect {
+	s := &tlv1.Suspect{Print: c.Fingerprint[:], Service: c.Service, What: c.Description, Trials: uint32(c.Trials), Breadth: uint32(c.Scope)}
 	for _, x := range c.Crashes {
 		crash := &tlv1.Crash{Target: string(x.Target), AgeMs: int64(ageUnknown)}
 		if now != ageUnknown && !x.AtIsUpperBound {
-			crash.AgeMs, crash.RanMs = int64(max(now-x.At, 0)), int64(x.At-x.From)
+			crash.AgeMs, crash.RanMs = int64(max(now-x.At, 0)), int64(x.At-x.SentAt)
 		}
 		s.Crashes = append(s.Crashes, crash)
 	}
@@ -172,15 +172,15 @@
 }
 
 // FromWire returns the case that was told, as of now. It fails if it names no request.
-func FromWire(s *tlv1.Suspect, now clock.Millis) (c Case, ok bool) {
+func FromWire(s *tlv1.Suspect, now clock.Millis) (c Suspect, ok bool) {
 	if len(s.GetPrint()) != FingerprintBytes || s.GetBreadth() >= uint32(scopes) {
-		return Case{}, false
+		return Suspect{}, false
 	}
-	c = Case{Fingerprint: Fingerprint(s.GetPrint()), Service: s.GetService(), What: s.GetWhat(), Trials: int(s.GetTrials()), Scope: Scope(s.GetBreadth())}
+	c = Suspect{Fingerprint: Fingerprint(s.GetPrint()), Service: s.GetService(), Description: s.GetWhat(), Trials: int(s.GetTrials()), Scope: Scope(s.GetBreadth())}
 	for _, x := range s.GetCrashes() {
 		age := clock.Millis(x.GetAgeMs())
 		at := now - max(age, 0)
-		c.Crashes = append(c.Crashes, Crash{Target: ident.Target(x.GetTarget()), From: at - clock.Millis(x.GetRanMs()), At: at, AtIsUpperBound: age < 0})
+		c.Crashes = append(c.Crashes, Crash{Target: ident.Target(x.GetTarget()), SentAt: at - clock.Millis(x.GetRanMs()), At: at, AtIsUpperBound: age < 0})
 	}
 	return c, true
 }
