--- a/desired/desired.go
+++ b/desired/desired.go
@@ -18,8 +18,8 @@
 // A Version orders desired states.
 type Version uint64
 
-// A Part struct is a share of a route's requests.
-type Part struct {
+// A Backend struct is a share of a route's requests.
+type Backend struct {
 	Service string
 	Weight  uint32
 }
@@ -35,52 +35,52 @@
 	Repeatable bool
 	// Timeout is the longest that a request is held.
 	Timeout clock.Millis
-	// Aim is the time within which an answer is worth the most.
-	Aim clock.Millis
-	// Rank says who waits when there is too much work; 0 goes first.
-	Rank uint32
-	// Attempts is the most targets that may run one request.
-	Attempts int
+	// Objective is the time within which an answer is worth the most.
+	Objective clock.Millis
+	// Priority says who waits when there is too much work; 0 goes first.
+	Priority uint32
+	// MaxAttempts is the most targets that may run one request.
+	MaxAttempts int
 	// Regions are the only ones that may serve the route's requests; empty stands for all.
 	Regions []ident.Region
-	// Parts are empty where the route cannot be used, as Fault says: its requests lead nowhere.
-	Parts       []Part
+	// Backends are empty where the route cannot be used, as Fault says: its requests lead nowhere.
+	Backends    []Backend
 	Fault       string
 	totalWeight uint32
 }
 
-// Service draws the service for one request, by weight. Draw returns a random number below n. The
+// PickService draws the service for one request, by weight. Draw returns a random number below n. The
 // route must have no fault.
-func (r *Route) Service(draw func(n uint32) uint32) string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+func (r *Route) PickService(draw func(n uint32) uint32) string {
+	if len(r.Backends) == 1 {
+		return r.Backends[0].Service
 	}
 	n := draw(r.totalWeight)
-	for _, p := range r.Parts {
+	for _, p := range r.Backends {
 		if n < p.Weight {
 			return p.Service
 		}
 		n -= p.Weight
 	}
-	return r.Parts[0].Service
+	return r.Backends[0].Service
 }
 
 // Limits bounds what callers may send, and how long they may take. 0 means no bound.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  clock.Millis
-	IdleTime    clock.Millis
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout clock.Millis
+	IdleTimeout   clock.Millis
 }
 
 // A Service struct is what is set for all targets of a service.
 type Service struct {
 	Name        string
 	Connections int
-	// Cold is how long a target is cold after its start, and ColdPerSecond how many requests a second it withstands
+	// WarmupPeriod is how long a target is cold after its start, and WarmupPerSecond how many requests a second it withstands
 	// meanwhile, from all nodes together; 0 if there is no such bound.
-	Cold          clock.Millis
-	ColdPerSecond float64
+	WarmupPeriod    clock.Millis
+	WarmupPerSecond float64
 }
 
 // A Table struct is one desired state, ready for use. It is never changed.
@@ -111,16 +111,16 @@
 		byHost:   map[string][]*Route{},
 		state:    s,
 		Limits: Limits{
-			HeaderBytes: int(l.GetHeaderBytes()),
-			BodyBytes:   l.GetBodyBytes(),
-			HeaderTime:  clock.Millis(l.GetHeaderMs()),
-			IdleTime:    clock.Millis(l.GetIdleMs()),
+			HeaderBytes:   int(l.GetHeaderBytes()),
+			BodyBytes:     l.GetBodyBytes(),
+			HeaderTimeout: clock.Millis(l.GetHeaderMs()),
+			IdleTimeout:   clock.Millis(l.GetIdleMs()),
 		},
 	}
 	for _, svc := range s.GetServices() {
 		t.Services[svc.GetName()] = Service{
 			Name: svc.GetName(), Connections: int(svc.GetConnections()),
-			Cold: clock.Millis(svc.GetColdMs()), ColdPerSecond: svc.GetColdPerSecond(),
+			WarmupPeriod: clock.Millis(svc.GetColdMs()), WarmupPerSecond: svc.GetColdPerSecond(),
 		}
 	}
 	for _, r := range s.GetRoutes() {
@@ -156,20 +156,20 @@
 
 func (t *Table) addRoute(d *tlv1.DesiredRoute) {
 	r := &Route{
-		Name:       d.GetName(),
-		Host:       strings.ToLower(d.GetHost()),
-		Prefix:     d.GetPrefix(),
-		Public:     d.GetPublic(),
-		Repeatable: d.GetRepeatable(),
-		Timeout:    clock.Millis(d.GetTimeoutMs()),
-		Aim:        clock.Millis(d.GetAimMs()),
-		Rank:       d.GetRank(),
-		Attempts:   max(int(d.GetAttempts()), 1),
-		Regions:    regions(d.GetRegions()),
+		Name:        d.GetName(),
+		Host:        strings.ToLower(d.GetHost()),
+		Prefix:      d.GetPrefix(),
+		Public:      d.GetPublic(),
+		Repeatable:  d.GetRepeatable(),
+		Timeout:     clock.Millis(d.GetTimeoutMs()),
+		Objective:   clock.Millis(d.GetAimMs()),
+		Priority:    d.GetRank(),
+		MaxAttempts: max(int(d.GetAttempts()), 1),
+		Regions:     regions(d.GetRegions()),
 	}
 	err := t.setBackends(r, d)
 	if err != nil {
-		r.Parts, r.Fault = nil, err.Error()
+		r.Backends, r.Fault = nil, err.Error()
 		t.faults = append(t.faults, errors.Wrapf(err, "route %q", r.Name))
 	}
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") {
@@ -201,10 +201,10 @@
 		if _, found := t.Services[p.GetService()]; !found {
 			return errors.Newf("no service %q", p.GetService())
 		}
-		r.Parts = append(r.Parts, Part{Service: p.GetService(), Weight: p.GetWeight()})
+		r.Backends = append(r.Backends, Backend{Service: p.GetService(), Weight: p.GetWeight()})
 		r.totalWeight += p.GetWeight()
 	}
-	if len(r.Parts) == 0 {
+	if len(r.Backends) == 0 {
 		return errors.New("leads to no service")
 	}
 	return nil
@@ -226,7 +226,7 @@
 
 // Find returns the route of the host with the longest prefix that the path begins with, or nil.
 func (t *Table) Find(host, path string) *Route {
-	for _, r := range t.byHost[HostOf(host)] {
+	for _, r := range t.byHost[NormalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -234,9 +234,9 @@
 	return nil
 }
 
-// OfHost returns the routes of the host.
-func (t *Table) OfHost(host string) []*Route {
-	return t.byHost[HostOf(host)]
+// RoutesForHost returns the routes of the host.
+func (t *Table) RoutesForHost(host string) []*Route {
+	return t.byHost[NormalizeHost(host)]
 }
 
 // Routes returns all routes. The caller must not change them.
@@ -249,8 +249,8 @@
 	return t.state
 }
 
-// HostOf drops a port and the case of the host's name.
-func HostOf(host string) string {
+// NormalizeHost drops a port and the case of the host's name.
+func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/desired/desired_test.go
+++ b/desired/desired_test.go
@@ -90,7 +90,7 @@
 			found := table.Find("a", c.path)
 			is.Equal(found.Name, "r")
 			is.True(found.Fault != "")
-			is.Equal(len(found.Parts), 0)
+			is.Equal(len(found.Backends), 0)
 		})
 	}
 }
@@ -102,7 +102,7 @@
 	is.NoErr(err)
 	counts := map[string]int{}
 	for i := range uint32(100) {
-		counts[table.Find("a", "/").Service(func(n uint32) uint32 { return i % n })]++
+		counts[table.Find("a", "/").PickService(func(n uint32) uint32 { return i % n })]++
 	}
 	is.Equal(counts, map[string]int{"s": 90, "u": 10})
 }
@@ -136,7 +136,7 @@
 				t.Errorf("route %q cannot be found", r.Name)
 			}
 			if r.Fault == "" {
-				_ = r.Service(func(n uint32) uint32 { return n - 1 })
+				_ = r.PickService(func(n uint32) uint32 { return n - 1 })
 			}
 		}
 	})
--- a/desired/group.go
+++ b/desired/group.go
@@ -24,7 +24,7 @@
 func newGroups(t *Table) *groups {
 	g := &groups{parent: map[string]string{}, services: map[Group][]string{}}
 	for _, r := range t.routes {
-		for _, p := range r.Parts {
+		for _, p := range r.Backends {
 			g.union(hostPrefix+r.Host, servicePrefix+p.Service)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // GroupOfHost returns the group of the services behind the host.
 func (t *Table) GroupOfHost(host string) Group {
-	return Group(t.groups.find(hostPrefix + HostOf(host)))
+	return Group(t.groups.find(hostPrefix + NormalizeHost(host)))
 }
 
 // GroupOfService returns the group of the service.
--- a/node/book.go
+++ b/node/book.go
@@ -104,8 +104,8 @@
 		service: s, methods: r.GetMethods(), keyOptional: r.GetKeyOptional(),
 		Route: &desired.Route{
 			Name: fmt.Sprintf("%s#%d", s, i), Host: strings.ToLower(r.GetHost()), Prefix: r.GetPathPrefix(),
-			Repeatable: r.GetRepeat() == tlv1.Repeat_REPEAT_ALLOWED, Timeout: deadline, Aim: deadline / aimShare,
-			Attempts: int(r.GetRetries()) + 1, Parts: []desired.Part{{Service: s.String(), Weight: 1}},
+			Repeatable: r.GetRepeat() == tlv1.Repeat_REPEAT_ALLOWED, Timeout: deadline, Objective: deadline / aimShare,
+			MaxAttempts: int(r.GetRetries()) + 1, Backends: []desired.Backend{{Service: s.String(), Weight: 1}},
 		},
 	}
 }
@@ -136,7 +136,7 @@
 	for _, o := range w.routes {
 		switch {
 		case service != "" && o.service.Name != service:
-		case o.Host != "" && o.Host != desired.HostOf(r.Host):
+		case o.Host != "" && o.Host != desired.NormalizeHost(r.Host):
 		case !strings.HasPrefix(path, o.Prefix):
 		case len(o.methods) > 0 && !slices.Contains(o.methods, r.Method):
 		default:
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -81,12 +81,12 @@
 	}
 	svc := table.Services[t.service]
 	c := p.node.settings().Cold
-	l := warmup.Limit{PerSecond: svc.ColdPerSecond, Overshoot: c.Overshoot, Slack: c.Slack}
+	l := warmup.Limit{PerSecond: svc.WarmupPerSecond, Overshoot: c.Overshoot, Slack: c.Slack}
 	if !l.Bounded() {
 		return 0, 0
 	}
 	if at := p.evacuations[t.hall].restoredAt; at > 0 {
-		until = at + svc.Cold
+		until = at + svc.WarmupPeriod
 	}
 	until = max(until, t.warmAt)
 	v := p.view
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -86,7 +86,7 @@
 	x := &exchange{
 		node: n, w: w, r: r, route: route, headers: h, began: now, deadline: now + route.Timeout,
 		id:      r.Header.Get(h.RequestID),
-		service: n.services.get(route.Service(rand.Uint32N)),
+		service: n.services.get(route.PickService(rand.Uint32N)),
 	}
 	x.pace = x.service.pace(route.Name, n.clock)
 	if ms, err := strconv.ParseInt(r.Header.Get(h.Deadline), 10, 64); err == nil && ms >= 0 {
@@ -158,7 +158,7 @@
 func (x *exchange) ask() *pool.Ask {
 	return &pool.Ask{
 		Repeatable: x.route.Repeatable, Again: x.plan().Hedges(x.ran),
-		Rank: x.rank(), Began: x.began, Aim: x.route.Aim, Deadline: x.deadline, Not: x.tried,
+		Rank: x.rank(), Began: x.began, Aim: x.route.Objective, Deadline: x.deadline, Not: x.tried,
 		Bytes: x.pace.size(), Halls: x.halls,
 	}
 }
@@ -168,7 +168,7 @@
 	if x.workspace != nil {
 		return x.workspace.Rank
 	}
-	return x.route.Rank
+	return x.route.Priority
 }
 
 // context ends at the deadline, and when the caller of a repeatable request leaves. A request that
@@ -273,7 +273,7 @@
 
 // plan is what the request allows.
 func (x *exchange) plan() attempt.Plan {
-	return attempt.Plan{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, Most: x.route.Attempts, Sole: x.sole()}
+	return attempt.Plan{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, Most: x.route.MaxAttempts, Sole: x.sole()}
 }
 
 // progress is how far the request has come.
--- a/node/regions.go
+++ b/node/regions.go
@@ -56,7 +56,7 @@
 	if t == nil {
 		return nil
 	}
-	for _, r := range t.OfHost(host) {
+	for _, r := range t.RoutesForHost(host) {
 		switch {
 		case len(r.Regions) == 0:
 		case regions == nil:
--- a/node/server.go
+++ b/node/server.go
@@ -27,13 +27,13 @@
 
 // limits returns the bounds on callers that are in force.
 func (n *Node) limits() desired.Limits {
-	l := desired.Limits{HeaderTime: headerTimeout, IdleTime: idleTimeout}
+	l := desired.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	if t := n.records.table.Load(); t != nil {
-		if t.Limits.HeaderTime > 0 {
-			l.HeaderTime = t.Limits.HeaderTime
+		if t.Limits.HeaderTimeout > 0 {
+			l.HeaderTimeout = t.Limits.HeaderTimeout
 		}
-		if t.Limits.IdleTime > 0 {
-			l.IdleTime = t.Limits.IdleTime
+		if t.Limits.IdleTimeout > 0 {
+			l.IdleTimeout = t.Limits.IdleTimeout
 		}
 	}
 	return l
@@ -42,5 +42,5 @@
 // callersRest is how long a caller's connection may rest, by the limits that are in force: the library's server takes
 // its own only at its start.
 func (n *Node) callersRest() time.Duration {
-	return n.limits().IdleTime.Duration()
+	return n.limits().IdleTimeout.Duration()
 }
