--- a/config/document.go
+++ b/config/document.go
@@ -16,7 +16,7 @@
 	MaxTargets     = 2000
 	MaxRoutes      = 500
 	MaxSlots       = 1 << 16
-	MaxDeadline    = 10 * 60 * 1000
+	MaxDeadlineMs  = 10 * 60 * 1000
 	MaxRetries     = 5
 	MaxNodes       = 64
 	MaxQueue       = 1 << 16
@@ -174,8 +174,8 @@
 		return errors.Newf("host: %q is not a host name", r.GetHost())
 	case r.GetRepeat() == tlv1.Repeat_REPEAT_UNSPECIFIED:
 		return errors.New("repeat: say whether requests are repeatable or run once")
-	case r.GetDeadlineMs() < 0 || r.GetDeadlineMs() > MaxDeadline:
-		return errors.Newf("deadline_ms: %d is not in 0 to %d", r.GetDeadlineMs(), MaxDeadline)
+	case r.GetDeadlineMs() < 0 || r.GetDeadlineMs() > MaxDeadlineMs:
+		return errors.Newf("deadline_ms: %d is not in 0 to %d", r.GetDeadlineMs(), MaxDeadlineMs)
 	case r.GetRetries() > MaxRetries:
 		return errors.Newf("retries: at most %d", MaxRetries)
 	case r.GetRetries() > 0 && r.GetRepeat() == tlv1.Repeat_REPEAT_ONCE:
--- a/config/writer.go
+++ b/config/writer.go
@@ -34,8 +34,8 @@
 var (
 	// ErrVoided says that the change was not made, and never will be.
 	ErrVoided = errors.New("change was not made")
-	// ErrUndecided says that nobody knows yet; Resolve settles it once the table answers.
-	ErrUndecided = errors.New("change may have been made")
+	// ErrOutcomeUnknown says that nobody knows yet; Resolve settles it once the table answers.
+	ErrOutcomeUnknown = errors.New("change may have been made")
 )
 
 // A StaleError says that a change expected another version than the one in the table.
@@ -53,8 +53,8 @@
 // A Request struct is a change that an operator wants.
 type Request struct {
 	// ID names the change; a request sent again makes no second one.
-	ID  string
-	Who string
+	ID     string
+	Author string
 	// Document carries the wanted state; its version is the one expected.
 	Document *tlv1.Document
 }
@@ -163,7 +163,7 @@
 	return &tlv1.Change{
 		Id:       r.ID,
 		Seq:      seq,
-		Who:      r.Who,
+		Who:      r.Author,
 		AtMs:     int64(w.clock.Now()),
 		Document: doc,
 		Replaced: current.GetVersion(),
@@ -217,7 +217,7 @@
 			break
 		}
 	}
-	return nil, errors.Wrapf(ErrUndecided, "ask after change %s later", id)
+	return nil, errors.Wrapf(ErrOutcomeUnknown, "ask after change %s later", id)
 }
 
 func (w *writer) Resolve(ctx context.Context, id string) (c *tlv1.Change, err error) {
--- a/config/writer_test.go
+++ b/config/writer_test.go
@@ -79,7 +79,7 @@
 	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
 	table := &commitHook{Table: m, before: func() {
-		_, err := other.Apply(ctx, config.Request{ID: "b", Who: "b", Document: service("s", 0, 2)})
+		_, err := other.Apply(ctx, config.Request{ID: "b", Author: "b", Document: service("s", 0, 2)})
 		is.NoErr(err)
 	}}
 	_, err := config.NewWriter(table, clock.NewManual(1)).Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
@@ -131,7 +131,7 @@
 	is.True(errors.As(m.Commit(ctx, table.held...), &conflict)) // the delayed commit conflicts
 }
 
-func TestUnreachableStoreLeavesOutcomeUnknownUntilResolved(t *testing.T) {
+func TestUnavailableStoreLeavesOutcomeUnknownUntilResolved(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	m := newTestTable(t)
@@ -139,7 +139,7 @@
 	w := config.NewWriter(table, clock.NewManual(1))
 	away := &commitHook{Table: table, before: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
 	_, err := config.NewWriter(away, clock.NewManual(1)).Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
-	is.True(errors.Is(err, config.ErrUndecided))
+	is.True(errors.Is(err, config.ErrOutcomeUnknown))
 	m.SetFaults(standin.Faults{})
 	is.NoErr(m.Commit(ctx, table.held...))
 	c, err := w.Resolve(ctx, "a")
@@ -153,7 +153,7 @@
 	m := newTestTable(t)
 	w := config.NewWriter(m, clock.NewManual(77))
 	for i := range 5 {
-		_, err := w.Apply(ctx, config.Request{ID: fmt.Sprint("c", i), Who: fmt.Sprint("op", i), Document: service("s", i, i)})
+		_, err := w.Apply(ctx, config.Request{ID: fmt.Sprint("c", i), Author: fmt.Sprint("op", i), Document: service("s", i, i)})
 		is.NoErr(err)
 	}
 	changes, err := config.NewLog(m).History(ctx, "svc/w/s", 2)
@@ -187,7 +187,7 @@
 				known[c.GetDocument().GetKey()] = int(c.GetSeq())
 			case errors.Is(err, config.ErrVoided):
 				voided[id] = true
-			case errors.Is(err, config.ErrUndecided), errors.Is(err, store.ErrAway):
+			case errors.Is(err, config.ErrOutcomeUnknown), errors.Is(err, store.ErrAway):
 				undecided[id] = true
 			}
 		}
--- a/node/operators.go
+++ b/node/operators.go
@@ -174,7 +174,7 @@
 	if !op.admin && !s.changes.allow(op.workspace) {
 		return nil, connect.NewError(connect.CodeResourceExhausted, errors.New("too many changes; try again in a second"))
 	}
-	c, err := s.node.writer.Apply(ctx, config.Request{ID: req.Msg.GetChangeId(), Who: op.name, Document: doc})
+	c, err := s.node.writer.Apply(ctx, config.Request{ID: req.Msg.GetChangeId(), Author: op.name, Document: doc})
 	if err != nil {
 		return nil, rpcError(err)
 	}
@@ -235,7 +235,7 @@
 		return connect.NewError(connect.CodeAborted, err)
 	case errors.Is(err, config.ErrVoided):
 		return connect.NewError(connect.CodeFailedPrecondition, err)
-	case errors.Is(err, config.ErrUndecided):
+	case errors.Is(err, config.ErrOutcomeUnknown):
 		return connect.NewError(connect.CodeUnknown, err)
 	case errors.Is(err, store.ErrAway):
 		return connect.NewError(connect.CodeUnavailable, err)
