--- a/logs/budget.go
+++ b/logs/budget.go
@@ -6,9 +6,9 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A Budget bounds the lines of one kind: so many a second are written, the others are counted and told of in one line. What
+// A Limiter bounds the lines of one kind: so many a second are written, the others are counted and told of in one line. What
 // a node hears of grows with the fleet, and its log must not. It is safe for concurrent use.
-type Budget struct {
+type Limiter struct {
 	clock     clock.Clock
 	perSecond int
 
@@ -18,13 +18,13 @@
 	suppressed int
 }
 
-// NewBudget returns a budget of so many lines a second.
-func NewBudget(c clock.Clock, perSecond int) *Budget {
-	return &Budget{clock: c, perSecond: perSecond}
+// NewLimiter returns a limiter of so many lines a second.
+func NewLimiter(c clock.Clock, perSecond int) *Limiter {
+	return &Limiter{clock: c, perSecond: perSecond}
 }
 
-// Take says whether a line may be written now, and counts it otherwise.
-func (b *Budget) Take() bool {
+// Allow says whether a line may be written now, and counts it otherwise.
+func (b *Limiter) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.clock.Now() / clock.Second; s != b.second {
@@ -38,8 +38,8 @@
 	return false
 }
 
-// Skipped returns how many lines were not written since it was last called, once the second in which they came is over.
-func (b *Budget) Skipped() (count int) {
+// TakeSuppressed returns how many lines were not written since it was last called, once the second in which they came is over.
+func (b *Limiter) TakeSuppressed() (count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.clock.Now()/clock.Second == b.second {
--- a/logs/budget_test.go
+++ b/logs/budget_test.go
@@ -13,17 +13,17 @@
 func TestLinesAreBounded(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(5000)
-	b := logs.NewBudget(c, 16)
+	b := logs.NewLimiter(c, 16)
 	written := 0
 	for range 10_000 {
-		if b.Take() {
+		if b.Allow() {
 			written++
 		}
 	}
 	is.Equal(written, 16)
-	is.Equal(b.Skipped(), 0) // the second is not over
+	is.Equal(b.TakeSuppressed(), 0) // the second is not over
 	c.Advance(clock.Second)
-	is.Equal(b.Skipped(), 10_000-16)
-	is.Equal(b.Skipped(), 0)
-	is.True(b.Take())
+	is.Equal(b.TakeSuppressed(), 10_000-16)
+	is.Equal(b.TakeSuppressed(), 0)
+	is.True(b.Allow())
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -75,14 +75,14 @@
 	if err != nil {
 		return errors.Wrap(err, "format log line")
 	}
-	h.sink.Put(classOf(e.Level), b)
+	h.sink.Enqueue(classOf(e.Level), b)
 	return nil
 }
 
 // classOf keeps warnings and errors longest.
 func classOf(l logrus.Level) Class {
 	if l <= logrus.WarnLevel {
-		return Kept
+		return Important
 	}
 	return Ordinary
 }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -55,7 +55,7 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	is.True(m.HeapAlloc < 16*logs.MaxWaiting)
+	is.True(m.HeapAlloc < 16*logs.MaxPendingBytes)
 	close(out.release)
 	l.Close()
 	<-l.Done()
--- a/logs/sink.go
+++ b/logs/sink.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxWaiting bounds the bytes of lines that wait for a slow reader.
-	MaxWaiting = 1 << 20
+	// MaxPendingBytes bounds the bytes of lines that wait for a slow reader.
+	MaxPendingBytes = 1 << 20
 	// ordinaryDivisor is the part of MaxWaiting that ordinary lines may fill, so that failures and
 	// refusals still find room: one in so many.
 	ordinaryDivisor = 2
@@ -32,8 +32,8 @@
 const (
 	// Ordinary lines are left out first.
 	Ordinary Class = iota
-	// Kept lines are about failures, refusals, and what changes rarely.
-	Kept
+	// Important lines are about failures, refusals, and what changes rarely.
+	Important
 )
 
 // A Sink struct takes lines and writes them in the background. It is safe for concurrent use.
@@ -62,9 +62,9 @@
 	return s
 }
 
-// Put takes a line, with its end, and never blocks. The line is not copied.
-func (s *Sink) Put(c Class, line []byte) {
-	limit := MaxWaiting
+// Enqueue takes a line, with its end, and never blocks. The line is not copied.
+func (s *Sink) Enqueue(c Class, line []byte) {
+	limit := MaxPendingBytes
 	if c == Ordinary {
 		limit /= ordinaryDivisor
 	}
--- a/node/records.go
+++ b/node/records.go
@@ -36,13 +36,13 @@
 	// decoded are the targets as they were last asked for.
 	decoded decoded
 	// lines bounds how many records of targets the log is told of one by one.
-	lines *logs.Budget
+	lines *logs.Limiter
 	// mu keeps changes from being taken over out of order.
 	mu sync.Mutex
 }
 
 func newRecords(n *Node) *records {
-	r := &records{node: n, lines: logs.NewBudget(n.clock, detailed), sets: map[store.Kind]*replica.Set{}, first: make(chan struct{}), decoded: newDecoded()}
+	r := &records{node: n, lines: logs.NewLimiter(n.clock, detailed), sets: map[store.Kind]*replica.Set{}, first: make(chan struct{}), decoded: newDecoded()}
 	for _, k := range []store.Kind{store.State, store.Targets, store.Documents, store.Suspects, store.Evacuations} {
 		r.sets[k] = replica.New(n.clock)
 	}
@@ -209,7 +209,7 @@
 		return
 	}
 	for _, x := range news {
-		if r.lines.Take() {
+		if r.lines.Allow() {
 			r.tellTarget(x, from)
 		}
 	}
@@ -217,7 +217,7 @@
 
 // tick tells the log how many records of targets came besides those that it was told of.
 func (r *records) tick() {
-	if more := r.lines.Skipped(); more > 0 {
+	if more := r.lines.TakeSuppressed(); more > 0 {
 		r.node.log.WithFields(logrus.Fields{"event": "target_records", "count": more, "newest": r.sets[store.Targets].Newest(), "from": "all"}).Info()
 	}
 }
--- a/node/services.go
+++ b/node/services.go
@@ -87,14 +87,14 @@
 	// most is how many nodes there were of late.
 	most peak
 	// lines bounds how many changes of belief by others' word the log is told of one by one.
-	lines *logs.Budget
+	lines *logs.Limiter
 }
 
 // toldBeliefs is the most changes of belief by others' word in a second that are told of one by one.
 const toldBeliefs = 16
 
 func newServices(n *Node) *services {
-	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), lines: logs.NewBudget(n.clock, toldBeliefs)}
+	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), lines: logs.NewLimiter(n.clock, toldBeliefs)}
 }
 
 // get returns the service that a request is for, making it if there is none, with its targets.
@@ -503,7 +503,7 @@
 // tellSums tells the log of the requests of each service now and then, and of what was not told one by one.
 func (s *services) tellSums() {
 	now := s.node.clock.Now()
-	if more := s.lines.Skipped(); more > 0 {
+	if more := s.lines.TakeSuppressed(); more > 0 {
 		s.node.log.WithFields(logrus.Fields{"event": "target_beliefs", "count": more, "by": "peers"}).Info()
 	}
 	for _, svc := range s.all() {
@@ -594,7 +594,7 @@
 // not that node itself. Only the nodes that carry or use a service hear of its targets.
 func (s *services) note(svc *service, e pool.Event) {
 	s.node.metrics.belief(e.Kind)
-	if e.By == "" || s.lines.Take() {
+	if e.By == "" || s.lines.Allow() {
 		s.node.log.WithFields(logrus.Fields{
 			"event": e.Kind, "service": svc.name, "target": e.Target, "failing": fmt.Sprintf("%.2f", e.Failing), "by": e.By,
 		}).Info()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,21 +15,21 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A Span is a time in a settings file, as text: 1500ms, 2.5s.
-type Span clock.Millis
+// A Duration is a time in a settings file, as text: 1500ms, 2.5s.
+type Duration clock.Millis
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return err
 	}
-	*s = Span(clock.FromDuration(d))
+	*s = Duration(clock.FromDuration(d))
 	return nil
 }
 
 // Millis returns the time.
-func (s Span) Millis() clock.Millis {
+func (s Duration) Millis() clock.Millis {
 	return clock.Millis(s)
 }
 
@@ -73,33 +73,33 @@
 // Bounds are what the platform holds the fleet to.
 type Bounds struct {
 	// Apply is how soon a newer desired state must be in force.
-	Apply Span `toml:"apply"`
+	Apply Duration `toml:"apply"`
 	// Grace is how long the platform waits between SIGTERM and SIGKILL.
-	Grace Span `toml:"grace"`
+	Grace Duration `toml:"grace"`
 	// Leave is how soon a target that is leaving must get no new work.
-	Leave Span `toml:"leave"`
+	Leave Duration `toml:"leave"`
 	// Valid is the longest that callers keep an answer of the directory.
-	Valid Span `toml:"valid"`
+	Valid Duration `toml:"valid"`
 	// Revoke is how soon after a key was taken away no request with it may run, also on nodes that cannot know; 0
 	// if keys are taken by what a node knows, however old that is.
-	Revoke Span `toml:"revoke"`
+	Revoke Duration `toml:"revoke"`
 }
 
 // Retries bounds further attempts, over the whole fleet.
 type Retries struct {
 	// Ratio is how many further attempts each request of a service allows within the window, and
 	// Slack how many more there may be.
-	Ratio  float64 `toml:"ratio"`
-	Slack  float64 `toml:"slack"`
-	Window Span    `toml:"window"`
+	Ratio  float64  `toml:"ratio"`
+	Slack  float64  `toml:"slack"`
+	Window Duration `toml:"window"`
 }
 
 // Workspaces bounds what they may ask for, over the whole fleet: in any window of this length no more than their
 // rate and burst allow, times one more than the overshoot, and the slack.
 type Workspaces struct {
-	Window    Span    `toml:"window"`
-	Overshoot float64 `toml:"overshoot"`
-	Slack     float64 `toml:"slack"`
+	Window    Duration `toml:"window"`
+	Overshoot float64  `toml:"overshoot"`
+	Slack     float64  `toml:"slack"`
 }
 
 // Cold bounds what a target gets that has started a short time ago, from all nodes together: in any second no more than
@@ -185,10 +185,10 @@
 func Defaults() *Settings {
 	return &Settings{
 		Bounds: Bounds{
-			Apply: Span(defaultApply), Grace: Span(defaultGrace), Leave: Span(defaultLeave), Valid: Span(defaultValid),
+			Apply: Duration(defaultApply), Grace: Duration(defaultGrace), Leave: Duration(defaultLeave), Valid: Duration(defaultValid),
 		},
-		Retries:    Retries{Ratio: defaultRetryRatio, Slack: defaultRetrySlack, Window: Span(defaultRetryWindow)},
-		Workspaces: Workspaces{Window: Span(defaultWorkspaceWindow), Overshoot: defaultWorkspaceOvershoot, Slack: defaultWorkspaceSlack},
+		Retries:    Retries{Ratio: defaultRetryRatio, Slack: defaultRetrySlack, Window: Duration(defaultRetryWindow)},
+		Workspaces: Workspaces{Window: Duration(defaultWorkspaceWindow), Overshoot: defaultWorkspaceOvershoot, Slack: defaultWorkspaceSlack},
 		Cold:       Cold{Overshoot: defaultColdOvershoot},
 		Limits:     Limits{Requests: defaultRequests, BodyBytes: defaultBodyBytes, HeaderBytes: defaultHeaderBytes},
 		Capacity:   Capacity{Cores: defaultCores, LinkMbps: defaultLinkMbps},
