--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// crashThreshold crashes of as many targets quarantine a request. One or two may be chance.
+	// crashThreshold is the number of crashes that quarantines a request. One or two may be coincidence.
 	crashThreshold = 3
-	// singleAttemptThreshold is from how many sequential crashes on a request gets a single attempt: of those that were in
-	// flight by chance as one target crashed, nearly all are not in flight a second time.
+	// singleAttemptThreshold is the number of sequential crashes from which a request gets a single attempt. A request that
+	// merely was in flight when one target crashed is rarely in flight at a second crash.
 	singleAttemptThreshold = 2
-	// crashTTL is how long crashes are remembered that were not enough: a request that comes more seldom ends few
-	// targets.
+	// crashTTL is how long crashes below the threshold are remembered. A request that is sent more rarely than that crashes
+	// few targets.
 	crashTTL = 10 * clock.Minute
-	// clearedTTL is how long it is remembered that a request was cleared, so that older reports of crashes are known as such.
+	// clearedTTL is how long the clearing of a request is remembered, so that late reports of earlier crashes are ignored.
 	clearedTTL = 1 * clock.Minute
-	// maxEntries bounds the requests that are remembered, and maxCrashes the targets named with each.
+	// maxEntries bounds the requests in a List, and maxCrashes the crashes stored for each.
 	maxEntries = 4096
 	maxCrashes = 6
-	// sameCrashWindow is how far apart two reports of one crash may be: less than a target needs to start again.
+	// sameCrashWindow is how far apart the times of two reports of one crash may be. It is shorter than the restart of a
+	// target, so that a second crash after a restart counts separately.
 	sameCrashWindow clock.Millis = 400
 )
 
-// trialDelays are the times until a request that is held back is let through once more, by how often it was. The first is
-// short: a request that was in flight by chance as many targets ended at once is free again before its caller gives up. The
-// others grow, for a request that still crashes its target each time; a new version of the target may cure it.
+// trialDelays holds the delay before each trial of a quarantined request, by the number of trials so far. The first is
+// short, so that a request that merely was in flight when many targets crashed is released before its caller gives up. The
+// later ones grow, since each trial of a request that still crashes targets costs a target; a new version of the target may
+// fix the cause.
 var trialDelays = [...]clock.Millis{2 * clock.Second, 20 * clock.Second, 2 * clock.Minute, 20 * clock.Minute, 60 * clock.Minute}
 
-// A Crash struct is one target that crashed while it ran the request.
+// A Crash is the crash of one target while it ran the request.
 type Crash struct {
 	Target ident.Target
 	// SentAt is when the request was sent to it, and At when it crashed.
 	SentAt, At clock.Millis
-	// AtIsUpperBound says that At is when the crash was reported: it was no later than that.
+	// AtIsUpperBound reports whether At is the time of the report, and the crash may have been earlier.
 	AtIsUpperBound bool
 }
 
-// matches says whether two reports may be of one crash: several requests are lost by it, and several nodes see it.
+// matches reports whether both reports may be of the same crash: it fails several requests and is seen by several nodes.
 func (c Crash) matches(other Crash) bool {
 	if c.Target != other.Target {
 		return false
@@ -57,25 +59,25 @@
 	Fingerprint Fingerprint
 	// Scope is how much of the request the fingerprint covers.
 	Scope Scope
-	// Service and Description name it for operators.
+	// Service and Description identify the request to operators.
 	Service, Description string
 	Crashes              []Crash
-	// Trials is how often it was let through since it is held back.
+	// Trials counts the trials since the request was quarantined.
 	Trials int
 }
 
-// Held says whether the request is held back.
+// Held reports whether the request is quarantined.
 func (c *Suspect) Held() bool {
 	return len(c.Crashes) >= crashThreshold
 }
 
-// Recurring says whether so many crashed that it is hardly chance.
+// Recurring reports whether there were too many crashes for a coincidence.
 func (c *Suspect) Recurring() bool {
 	return len(c.Crashes) >= singleAttemptThreshold
 }
 
-// sequentialCrashes counts crashes of which each target had the request only after the one before had crashed. Crashes of
-// overlapping attempts count once: a shared cause, such as a hall's power, ends many targets at a time.
+// sequentialCrashes counts crashes of attempts that began after the previous crash. Crashes of overlapping attempts count
+// once: they may have a shared cause, such as a power failure in a Hall.
 func (c *Suspect) sequentialCrashes() (count int) {
 	var timed []Crash
 	for _, x := range c.Crashes {
@@ -96,19 +98,19 @@
 	return count
 }
 
-// A Verdict struct is how a request is to be treated.
+// A Verdict says how to treat a request.
 type Verdict struct {
-	// Crashes counts the targets that crashed under the request, and SequentialCrashes those that crashed one after the
-	// other. With none, it is like any other.
+	// Crashes counts the crashes of targets that ran the request, and SequentialCrashes those in sequence. A request
+	// without crashes is not restricted.
 	Crashes, SequentialCrashes int
-	// Held requests are not sent, unless TrialDue is set.
+	// Held requests are quarantined: they are sent only as a trial, when TrialDue is set.
 	Held, TrialDue bool
-	// RetryAfter is when the next trial is due.
+	// RetryAfter is the time until the next trial.
 	RetryAfter clock.Millis
 	Trials     int
 }
 
-// StricterThan says whether a request is restricted more by this verdict than by the other.
+// StricterThan reports whether v restricts a request more than other does.
 func (v Verdict) StricterThan(other Verdict) bool {
 	if v.Held != other.Held {
 		return v.Held
@@ -116,27 +118,27 @@
 	return cmp.Or(cmp.Compare(v.RetryAfter, other.RetryAfter), cmp.Compare(v.Crashes, other.Crashes)) > 0
 }
 
-// SingleAttempt says whether the request is sent to one target only.
+// SingleAttempt reports whether the request may be sent to one target only, without retries and hedges.
 func (v Verdict) SingleAttempt() bool {
 	return v.SequentialCrashes >= singleAttemptThreshold
 }
 
-// A Change says what the report of a crash changed.
+// A Change is the effect of a crash report.
 type Change int
 
 // Changes.
 const (
-	// Unchanged reports were known.
+	// Unchanged: the crashes were already known.
 	Unchanged Change = iota
-	// Suspected requests have one crash more, and are not quarantined.
+	// Suspected: there was a new crash, and the request is not quarantined.
 	Suspected
-	// Quarantined requests are held back from now on.
+	// Quarantined: a new crash reached the threshold.
 	Quarantined
-	// CrashedAgain requests were quarantined before, and have crashed one more target.
+	// CrashedAgain: the request was already quarantined, and crashed another target.
 	CrashedAgain
 )
 
-// String returns the change's name in the log.
+// String returns the name of the change in logs and metrics.
 func (c Change) String() string {
 	return [...]string{"nothing", "suspected", "held", "still"}[c]
 }
@@ -145,16 +147,16 @@
 	Suspect
 	// since is when this node last learned of a crash or a trial.
 	since clock.Millis
-	// clearedAt is when it was last cleared, 0 if never.
+	// clearedAt is when the request was last cleared, or 0.
 	clearedAt clock.Millis
-	// stored says that the store names it, and dirty that this node has to write it to the store.
+	// stored is set if the store lists the request, and dirty if this node has to write it to the store.
 	stored, dirty bool
 }
 
-// A List struct holds the requests under which targets crashed, as one node knows them. It is safe for concurrent use.
+// A List holds the requests that crashed targets, as known to one node. It is safe for concurrent use.
 type List struct {
 	clock clock.Clock
-	// size is how many entries there are: while there are none, requests need no fingerprint.
+	// size is the number of entries. While it is 0, callers need not compute fingerprints.
 	size atomic.Int32
 
 	mu      sync.Mutex
@@ -166,12 +168,12 @@
 	return &List{clock: c, entries: map[Fingerprint]*entry{}}
 }
 
-// Empty says whether no request has any crash report.
+// Empty reports whether the list has no entries.
 func (l *List) Empty() bool {
 	return l.size.Load() == 0
 }
 
-// Decide says how a request is to be treated that is about to be sent.
+// Decide returns the verdict on a request that is about to be sent.
 func (l *List) Decide(fp Fingerprint) (v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,8 +189,8 @@
 	return v
 }
 
-// trialDelay is how long a request that is held back is not tried. Where its targets crashed at once, they may have for another
-// reason, and the first trial is due now.
+// trialDelay returns the time between the last crash or trial and the next trial of a quarantined request. The first trial
+// is due at once if the targets crashed at the same time, since that may have another cause than the request.
 func (v Verdict) trialDelay() clock.Millis {
 	if v.Trials == 0 && v.SequentialCrashes < crashThreshold {
 		return 0
@@ -196,7 +198,7 @@
 	return trialDelays[min(v.Trials, len(trialDelays)-1)]
 }
 
-// AddCrashes takes in that targets crashed while they ran the request, as seen here or told by another node.
+// AddCrashes records the crashes of targets that ran the request, as seen by this node or reported by another one.
 func (l *List) AddCrashes(c Suspect) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +222,8 @@
 	return Suspected
 }
 
-// add notes the crashes that are new, and says whether there are any. Two in one report are two, also of one target.
+// add records the crashes that are not yet known, and reports whether there are any. Two crashes in one report count as
+// two, even if they are of the same target.
 func (e *entry) add(list []Crash) (added bool) {
 	unmatched := slices.Clone(e.Crashes)
 	for _, c := range list {
@@ -240,7 +243,7 @@
 	return added
 }
 
-// entry returns the request's entry, making it if there is none.
+// entry returns the entry of the request, and creates it if there is none.
 func (l *List) entry(c *Suspect) *entry {
 	e := l.entries[c.Fingerprint]
 	if e == nil {
@@ -253,8 +256,7 @@
 	return e
 }
 
-// evictIfFull drops the entry that matters least if there are too many: one that is not held back before one that is, and
-// the oldest of them.
+// evictIfFull drops the oldest entry if there are too many, and one that is quarantined only if all are.
 func (l *List) evictIfFull() {
 	if len(l.entries) < maxEntries {
 		return
@@ -280,8 +282,8 @@
 	l.size.Store(int32(len(l.entries)))
 }
 
-// StartTrial notes that the request is let through once more. It says whether that is so by what is known here: another node
-// may have let it through just now.
+// StartTrial records that the request is sent as its trial of that number. It returns false if, to the knowledge of this
+// node, the request is not quarantined, or another node has already started that trial.
 func (l *List) StartTrial(fp Fingerprint, trials int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -293,8 +295,8 @@
 	return true
 }
 
-// Clear drops the crash reports of a request: a target has answered it well, which a request that crashes its targets
-// never sees, or an operator says so. It returns what was known, and whether there was anything.
+// Clear drops the crashes of a request, after a successful response, which a request that crashes targets never gets, or on
+// behalf of an operator. It returns what was known, and whether there was anything.
 func (l *List) Clear(fp Fingerprint) (was Suspect, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -311,7 +313,7 @@
 	e.Crashes, e.Trials, e.since, e.clearedAt = nil, 0, now, now
 }
 
-// Get returns what is known of the request.
+// Get returns what is known of the request, and when this node last learned of a crash or a trial.
 func (l *List) Get(fp Fingerprint) (c Suspect, since clock.Millis, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -328,7 +330,7 @@
 	return c
 }
 
-// All returns all requests under which targets crashed, in the order of their fingerprints.
+// All returns all requests with crashes, ordered by fingerprint.
 func (l *List) All() (list []Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -341,8 +343,8 @@
 	return list
 }
 
-// Expire drops what has grown old: crashes that were not enough, and that a request was cleared. What is held back stays
-// until a trial or an operator clears it.
+// Expire drops crashes below the threshold and records of clearing whose retention time has passed. Quarantined requests
+// stay until a trial or an operator clears them.
 func (l *List) Expire() {
 	if l.Empty() {
 		return
