--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// rowCount is how many rows of the store the requests are spread over, and maxPerRow the most in one: the store holds
-	// no more, however many there come to be.
+	// rowCount is the number of store rows that requests are distributed over, and maxPerRow the maximum in each. Together
+	// they bound the size of the data in the store.
 	rowCount  = 64
 	maxPerRow = 8
 )
 
-// RowKey names the store's row that a request is kept in.
+// RowKey returns the key of the store row that holds the request.
 func RowKey(fp Fingerprint) string {
 	return fmt.Sprintf("%02x", fp[0]%rowCount)
 }
 
-// MarkDirty notes that this node has to write the request to the store: it saw the last crash under it, or that it was
-// cleared. It says whether there is anything that the store lacks.
+// MarkDirty marks the request for writing to the store, because this node saw its last crash or cleared it. It returns
+// false if there is nothing to write.
 func (l *List) MarkDirty(fp Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	return true
 }
 
-// Dirty returns the requests that this node has to write to the store.
+// Dirty returns the requests that are marked for writing to the store.
 func (l *List) Dirty() (list []Fingerprint) {
 	if l.Empty() {
 		return nil
@@ -50,8 +50,8 @@
 	return list
 }
 
-// Row returns the row as it should be, given how it stands in the store: with this request as it is known there and
-// here, and the others as they are. It keeps the latest if there are too many.
+// Row returns the new value of a store row, given its current value. It merges what the row and this node know of the
+// request, and keeps the other requests as they are. If there are too many, it drops the ones written longest ago.
 func (l *List) Row(fp Fingerprint, row *tlv1.Suspects) *tlv1.Suspects {
 	next := &tlv1.Suspects{}
 	for _, s := range row.GetSuspects() {
@@ -59,7 +59,7 @@
 			next.Suspects = append(next.Suspects, s)
 			continue
 		}
-		// A node that has just started knows less than the row, and must not take anything back.
+		// A node that has just started knows less than the row, and must not remove crashes from it.
 		if c, ok := FromWire(s, l.clock.Now()); ok && !l.clearPending(c) {
 			l.AddCrashes(c)
 		}
@@ -75,7 +75,7 @@
 	return next
 }
 
-// TrialsIn returns how often the request was let through, by the row.
+// TrialsIn returns the number of trials of the request that the row records.
 func TrialsIn(row *tlv1.Suspects, fp Fingerprint) int {
 	for _, s := range row.GetSuspects() {
 		if string(s.GetPrint()) == string(fp[:]) {
@@ -85,7 +85,7 @@
 	return 0
 }
 
-// MarkStored notes that the store has the row as it was written with this request.
+// MarkStored records that the row with this request was written to the store.
 func (l *List) MarkStored(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,8 +94,7 @@
 	}
 }
 
-// ClearDirty notes that the store does not take the row as it would be written with this request: it is not written again
-// until more is known of the request.
+// ClearDirty unmarks a request whose row the store rejects. It is not written again until more is known of the request.
 func (l *List) ClearDirty(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +103,8 @@
 	}
 }
 
-// MergeRow takes in a row of the store: what it names, and that what it no longer names is cleared. It returns what changed.
+// MergeRow merges a row read from the store: it adds the crashes that the row lists, and clears the requests that the row
+// no longer lists. It returns the changes.
 func (l *List) MergeRow(key string, row *tlv1.Suspects) (changes map[Fingerprint]Change) {
 	changes = map[Fingerprint]Change{}
 	present := map[Fingerprint]bool{}
@@ -120,13 +120,13 @@
 			l.noteStored(c)
 		}
 	}
-	if len(row.GetSuspects()) < maxPerRow { // from a full one it may have been pushed out
+	if len(row.GetSuspects()) < maxPerRow { // a full row may have dropped requests that are not cleared
 		l.clearMissing(key, present)
 	}
 	return changes
 }
 
-// clearPending says whether the request was cleared here, and the store is still to learn of that.
+// clearPending reports whether the request was cleared here, and the store does not have that yet.
 func (l *List) clearPending(c Suspect) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +134,7 @@
 	return e != nil && e.dirty && len(e.Crashes) == 0
 }
 
-// noteStored notes that the store names the request with these crashes.
+// noteStored records that the store lists the request with these crashes.
 func (l *List) noteStored(c Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +143,7 @@
 	e.dirty = e.dirty && (len(e.Crashes) > len(c.Crashes) || e.Trials > c.Trials)
 }
 
-// clearMissing clears the requests of a row that the store no longer names.
+// clearMissing clears the stored requests of a row that are not present in it any longer.
 func (l *List) clearMissing(key string, present map[Fingerprint]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,10 +155,11 @@
 	}
 }
 
-// ageUnknown stands for an age that is not told.
+// ageUnknown stands for an age that is not sent.
 const ageUnknown clock.Millis = -1
 
-// ToWire returns the case as other nodes are told of it now, or with never as the store keeps it.
+// ToWire returns the message that describes the request to other nodes at the time now. If now is ageUnknown, it returns the
+// form for the store, without ages.
 func ToWire(c Suspect, now clock.Millis) *tlv1.Suspect {
 	s := &tlv1.Suspect{Print: c.Fingerprint[:], Service: c.Service, What: c.Description, Trials: uint32(c.Trials), Breadth: uint32(c.Scope)}
 	for _, x := range c.Crashes {
@@ -171,7 +172,7 @@
 	return s
 }
 
-// FromWire returns the case that was told, as of now. It fails if it names no request.
+// FromWire decodes a message that was received at the time now. It returns false if the fingerprint or scope is not valid.
 func FromWire(s *tlv1.Suspect, now clock.Millis) (c Suspect, ok bool) {
 	if len(s.GetPrint()) != FingerprintBytes || s.GetBreadth() >= uint32(scopes) {
 		return Suspect{}, false
