--- a/desired/desired.go
+++ b/desired/desired.go
@@ -1,5 +1,5 @@
-// Package desired holds the desired state of a fleet: which requests lead to which services, and
-// what callers may send. A state is whole; a node uses the newest version that it has seen.
+// Package desired holds the desired state of a fleet: which requests are routed to which services, and
+// what callers may send. Each version is complete in itself; a node uses the newest one that it has seen.
 package desired
 
 import (
@@ -18,39 +18,39 @@
 // A Version orders desired states.
 type Version uint64
 
-// A Backend struct is a share of a route's requests.
+// A Backend is a service that gets a share of a route's requests, by weight.
 type Backend struct {
 	Service string
 	Weight  uint32
 }
 
-// A Route struct leads the requests of a host below a path prefix to services.
+// A Route routes the requests for a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest time that a request may take.
 	Timeout clock.Millis
-	// Objective is the time within which an answer is worth the most.
+	// Objective is the latency objective: the response time to stay within.
 	Objective clock.Millis
-	// Priority says who waits when there is too much work; 0 goes first.
+	// Priority decides who goes first under overload; 0 is the highest.
 	Priority uint32
-	// MaxAttempts is the most targets that may run one request.
+	// MaxAttempts is how many targets may run one request.
 	MaxAttempts int
-	// Regions are the only ones that may serve the route's requests; empty stands for all.
+	// Regions lists the regions that may serve the requests; empty means all.
 	Regions []ident.Region
-	// Backends are empty where the route cannot be used, as Fault says: its requests lead nowhere.
+	// Backends is empty if the route is not valid. Fault then says why, and its requests are not served.
 	Backends    []Backend
 	Fault       string
 	totalWeight uint32
 }
 
-// PickService draws the service for one request, by weight. Draw returns a random number below n. The
-// route must have no fault.
+// PickService returns the service for one request, a weighted random choice. The function draw returns a
+// random number below n. The route must be valid.
 func (r *Route) PickService(draw func(n uint32) uint32) string {
 	if len(r.Backends) == 1 {
 		return r.Backends[0].Service
@@ -65,7 +65,7 @@
 	return r.Backends[0].Service
 }
 
-// Limits bounds what callers may send, and how long they may take. 0 means no bound.
+// Limits bounds what callers may send, and how long they may take. 0 means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -73,22 +73,22 @@
 	IdleTimeout   clock.Millis
 }
 
-// A Service struct is what is set for all targets of a service.
+// A Service holds the settings of a service that apply to all its targets.
 type Service struct {
 	Name        string
 	Connections int
-	// WarmupPeriod is how long a target is cold after its start, and WarmupPerSecond how many requests a second it withstands
-	// meanwhile, from all nodes together; 0 if there is no such bound.
+	// WarmupPeriod is how long a target warms up after its start, and WarmupPerSecond how many requests a second it can
+	// take meanwhile, from all nodes together; 0 means no limit.
 	WarmupPeriod    clock.Millis
 	WarmupPerSecond float64
 }
 
-// A Table struct is one desired state, ready for use. It is never changed.
+// A Table is a version of the desired state, indexed for lookups. It is immutable.
 type Table struct {
 	Version  Version
 	Limits   Limits
 	Services map[string]Service
-	// Access finds the workspaces of callers; nil if no request needs a key.
+	// Access looks up the Workspace of a caller; nil if no request needs a key.
 	Access *access.Directory
 	byHost map[string][]*Route
 	routes []*Route
@@ -97,8 +97,8 @@
 	groups *groups
 }
 
-// Compile checks a state and returns it ready for use. A route that cannot be used costs no more than
-// itself: it leads nowhere, or is left out if nobody can say which requests are its own. Faults names it.
+// Compile checks a state and builds its table. A route that is not valid affects no other: it serves no
+// requests, or is left out if it has no host or path prefix. Faults lists it.
 func Compile(s *tlv1.DesiredState) (t *Table, err error) {
 	defer func() { err = errors.Wrapf(err, "desired state %d", s.GetVersion()) }()
 	if s.GetVersion() == 0 {
@@ -134,7 +134,8 @@
 	return t, nil
 }
 
-// addWorkspaces takes in who may ask. A workspace that cannot be used costs no more than itself, and opens nothing.
+// addWorkspaces adds the Workspaces whose callers have access. One that is not valid affects no other, and its keys grant
+// no access.
 func (t *Table) addWorkspaces(list []*tlv1.DesiredWorkspace) {
 	t.Access = access.NewDirectory()
 	for _, w := range list {
@@ -189,7 +190,7 @@
 	return list
 }
 
-// setBackends sets where the route leads, and says why it cannot be used.
+// setBackends sets the backends of the route, or returns why it is not valid.
 func (t *Table) setBackends(r *Route, d *tlv1.DesiredRoute) error {
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return errors.Newf("host %q and prefix %q do not name a place", r.Host, r.Prefix)
@@ -210,12 +211,12 @@
 	return nil
 }
 
-// Faults names the routes and workspaces that cannot be used, and why.
+// Faults returns an error for each route and Workspace that is not valid.
 func (t *Table) Faults() []error {
 	return t.faults
 }
 
-// sortRoutes puts the longest prefixes first.
+// sortRoutes sorts the routes of each host by descending length of the prefix, for Find.
 func (t *Table) sortRoutes() {
 	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int {
@@ -224,7 +225,7 @@
 	}
 }
 
-// Find returns the route of the host with the longest prefix that the path begins with, or nil.
+// Find returns the route of the host with the longest prefix of the path, or nil.
 func (t *Table) Find(host, path string) *Route {
 	for _, r := range t.byHost[NormalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -244,12 +245,12 @@
 	return t.routes
 }
 
-// State returns what the table was made from. The caller must not change it.
+// State returns the state that the table was built from. The caller must not change it.
 func (t *Table) State() *tlv1.DesiredState {
 	return t.state
 }
 
-// NormalizeHost drops a port and the case of the host's name.
+// NormalizeHost returns the host in lower case and without a port.
 func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
