--- a/config/writer.go
+++ b/config/writer.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Rows of the table. Every change writes its document, a row of the log, a row that finds it by
-// its id, a row of the document's history, and the head of the log, all in one commit.
+// Keys of rows in the store. One commit writes all rows of a change: the document, a row of the log, a row
+// under the change's id, a row of the document's history, and the head of the log.
 const (
 	headRow       = "head"
 	changePrefix  = "change/"
@@ -24,21 +24,21 @@
 )
 
 const (
-	// maxCommitTries is how often a change is tried again when another one took its place in the log.
+	// maxCommitTries is how often a change is tried while others take its place in the log.
 	maxCommitTries = 32
-	// maxResolveTries is how often the fate of a commit without answer is asked after.
+	// maxResolveTries is how often Apply queries the outcome of a commit whose response was lost.
 	maxResolveTries = 8
 )
 
 // Errors of a change.
 var (
-	// ErrVoided says that the change was not made, and never will be.
+	// ErrVoided: the change was not applied, and never will be.
 	ErrVoided = errors.New("change was not made")
-	// ErrOutcomeUnknown says that nobody knows yet; Resolve settles it once the table answers.
+	// ErrOutcomeUnknown: the change may have been applied. Resolve finds out once the store answers.
 	ErrOutcomeUnknown = errors.New("change may have been made")
 )
 
-// A StaleError says that a change expected another version than the one in the table.
+// A StaleError reports that a change expected another version than the one in the store.
 type StaleError struct {
 	Key      ident.Key
 	Expected ident.Version
@@ -50,21 +50,21 @@
 	return fmt.Sprintf("%s: expected version %d, but version %d is in force", e.Key, e.Expected, e.Current)
 }
 
-// A Request struct is a change that an operator wants.
+// A Request is an operator's request to change a document.
 type Request struct {
-	// ID names the change; a request sent again makes no second one.
+	// ID identifies the change and makes the request idempotent.
 	ID     string
 	Author string
-	// Document carries the wanted state; its version is the one expected.
+	// Document is the new document. Its version is the one that it replaces.
 	Document *tlv1.Document
 }
 
-// A Writer makes changes.
+// A Writer applies changes.
 type Writer interface {
-	// Apply makes the change, or says why not: ErrInvalid, *StaleError, ErrVoided, ErrUndecided
-	// or store.ErrAway, the last only if nothing was written.
+	// Apply applies the change. Its errors are ErrInvalid, *StaleError, ErrVoided, ErrOutcomeUnknown and
+	// store.ErrAway, the last only if nothing was written.
 	Apply(ctx context.Context, r Request) (*tlv1.Change, error)
-	// Resolve says what became of a change, and voids it if it was not made.
+	// Resolve returns the outcome of a change, and voids it if it was not applied.
 	Resolve(ctx context.Context, id string) (*tlv1.Change, error)
 }
 
@@ -73,12 +73,12 @@
 	clock clock.Clock
 }
 
-// NewWriter returns a Writer on the table.
+// NewWriter returns a Writer that writes to the table.
 func NewWriter(t store.Table, c clock.Clock) Writer {
 	return &writer{table: t, clock: c}
 }
 
-// snapshot is what a change is built on.
+// snapshot holds the rows that a change is based on.
 type snapshot struct {
 	id   store.Row
 	head store.Row
@@ -102,7 +102,7 @@
 	return nil, errors.Wrap(store.ErrAway, "log is too busy")
 }
 
-// attempt makes one attempt. It is not done if another change was faster.
+// attempt tries to commit the change. It returns done = false if another change was committed first.
 func (w *writer) attempt(ctx context.Context, r Request) (c *tlv1.Change, done bool, err error) {
 	s, err := w.readSnapshot(ctx, r)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return snapshot{id: rows[0], head: rows[1], doc: rows[2]}, nil
 }
 
-// build returns the change that follows the state read.
+// build returns the change that follows the snapshot.
 func (w *writer) build(r Request, s snapshot) (*tlv1.Change, error) {
 	current, err := decodeDocument(s.doc)
 	if err != nil {
@@ -188,7 +188,7 @@
 	}, nil
 }
 
-// encodeHead is the value of the head of the log: the last change's sequence number.
+// encodeHead returns the value of the head row: the last change's sequence number.
 func encodeHead(seq uint64) []byte {
 	return []byte(strconv.FormatUint(seq, 10))
 }
@@ -205,8 +205,8 @@
 	return fmt.Sprintf(seqFormat, seq)
 }
 
-// resolveLostCommit finds out what became of a commit whose answer was lost. It reads the change's own
-// row again and never guesses; the same rule as section 4.2 of "Spot and Actor Membership".
+// resolveLostCommit determines the outcome of a commit whose response was lost. It relies only on the
+// change's own row in the store, as in section 4.2 of "Spot and Actor Membership".
 func (w *writer) resolveLostCommit(ctx context.Context, id string) (*tlv1.Change, error) {
 	for range maxResolveTries {
 		c, err := w.Resolve(ctx, id)
@@ -232,7 +232,7 @@
 	return w.void(ctx, id)
 }
 
-// void takes the change's own row, so that a late commit of it must fail.
+// void writes the change's own row, so that a delayed commit of the change fails with a conflict.
 func (w *writer) void(ctx context.Context, id string) (*tlv1.Change, error) {
 	c := &tlv1.Change{Id: id, AtMs: int64(w.clock.Now()), Voided: true}
 	value, err := proto.Marshal(c)
