--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,7 +15,7 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A Duration is a time in a settings file, as text: 1500ms, 2.5s.
+// A Duration is a duration in a settings file, written as 1500ms or 2.5s.
 type Duration clock.Millis
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -28,118 +28,118 @@
 	return nil
 }
 
-// Millis returns the time.
+// Millis returns the duration in milliseconds.
 func (s Duration) Millis() clock.Millis {
 	return clock.Millis(s)
 }
 
-// Node says who the node is and where it listens. Addresses are IP numbers with ports; doors
-// without an address stay closed, but for Callers and Peers.
+// Node identifies the node and holds its listen addresses. Addresses are IP addresses with ports. Listeners
+// without an address are not opened; those for Callers and Peers are required.
 type Node struct {
 	Name   string `toml:"name"`
 	Hall   string `toml:"hall"`
 	Region string `toml:"region"`
-	// Callers is where requests come.
+	// Callers is the address for requests.
 	Callers string `toml:"callers"`
-	// Directory is where callers ask which nodes to use, on the users' platform.
+	// Directory is the address where callers look up which nodes to use, on the users' platform.
 	Directory string `toml:"directory"`
-	// Readiness is where the platform asks whether callers may be sent here.
+	// Readiness is the address where the platform checks whether it may send callers to this node.
 	Readiness string `toml:"readiness"`
-	// Peers is where other nodes reach this one, by datagrams and connections.
+	// Peers is the address for other nodes, by UDP and TCP.
 	Peers string `toml:"peers"`
-	// AdvertisePeers is where others reach it, if elsewhere.
+	// AdvertisePeers is the address that other nodes use to reach Peers, if it differs.
 	AdvertisePeers string `toml:"advertise_peers"`
-	// Operators is where operators call.
+	// Operators is the address for operators.
 	Operators string `toml:"operators"`
-	// Metrics is where metrics are served; operators find them at their own door too.
+	// Metrics is the address for metrics. The operators' address serves them too.
 	Metrics string `toml:"metrics"`
 }
 
-// Store says where the platform's store is. Embedded runs a stand-in in the node, for a trial.
+// Store locates the platform's store. Embedded runs an emulation of it in the node's process, for trying out.
 type Store struct {
 	Address  string `toml:"address"`
 	Embedded bool   `toml:"embedded"`
 }
 
-// Fleet says how nodes find and trust each other.
+// Fleet configures how nodes discover and authenticate each other.
 type Fleet struct {
-	// Seeds are addresses of some nodes for peers. They may be stale.
+	// Seeds are peer addresses of some nodes. They may be stale.
 	Seeds []string `toml:"seeds"`
-	// Keys are secrets that peers share, as hex. The first one signs; all are taken. Without keys,
-	// whoever reaches the peers' door is taken for a peer.
+	// Keys are secrets that peers share, as hex. The first one signs; all are accepted. Without keys,
+	// whoever reaches the peers' address is accepted as a peer.
 	Keys []string `toml:"keys"`
 }
 
-// Bounds are what the platform holds the fleet to.
+// Bounds holds the time limits that the platform sets for the fleet.
 type Bounds struct {
 	// Apply is how soon a newer desired state must be in force.
 	Apply Duration `toml:"apply"`
-	// Grace is how long the platform waits between SIGTERM and SIGKILL.
+	// Grace is the time between SIGTERM and SIGKILL.
 	Grace Duration `toml:"grace"`
-	// Leave is how soon a target that is leaving must get no new work.
+	// Leave is how soon a target that is leaving must stop receiving requests.
 	Leave Duration `toml:"leave"`
-	// Valid is the longest that callers keep an answer of the directory.
+	// Valid is how long callers cache an answer of the directory at most.
 	Valid Duration `toml:"valid"`
-	// Revoke is how soon after a key was taken away no request with it may run, also on nodes that cannot know; 0
-	// if keys are taken by what a node knows, however old that is.
+	// Revoke is how soon after the revocation of a key no request with it may run, also on nodes that cannot learn of the
+	// revocation. 0 means that nodes accept keys by the newest state they have, however old.
 	Revoke Duration `toml:"revoke"`
 }
 
-// Retries bounds further attempts, over the whole fleet.
+// Retries limits additional attempts at requests over the whole fleet.
 type Retries struct {
-	// Ratio is how many further attempts each request of a service allows within the window, and
-	// Slack how many more there may be.
+	// Ratio is the number of additional attempts per request of a service within the window, and Slack a constant
+	// number on top.
 	Ratio  float64  `toml:"ratio"`
 	Slack  float64  `toml:"slack"`
 	Window Duration `toml:"window"`
 }
 
-// Workspaces bounds what they may ask for, over the whole fleet: in any window of this length no more than their
-// rate and burst allow, times one more than the overshoot, and the slack.
+// Workspaces limits the requests of each Workspace over the whole fleet: in any window at most
+// (what its rate and burst allow) * (1 + Overshoot) + Slack.
 type Workspaces struct {
 	Window    Duration `toml:"window"`
 	Overshoot float64  `toml:"overshoot"`
 	Slack     float64  `toml:"slack"`
 }
 
-// Cold bounds what a target gets that has started a short time ago, from all nodes together: in any second no more than
-// what it withstands, by the desired state, times Overshoot, and Slack.
+// Cold limits the requests to a target that is warming up, from all nodes together: in any second at most
+// (its limit in the desired state) * Overshoot + Slack.
 type Cold struct {
 	Overshoot float64 `toml:"overshoot"`
 	Slack     float64 `toml:"slack"`
 }
 
-// Operators says who may do everything.
+// Operators identifies the administrator, who has all permissions.
 type Operators struct {
 	AdminTokenSHA256 string `toml:"admin_token_sha256"`
 }
 
-// Limits bounds what callers can make the node hold.
+// Limits bounds the memory that callers can make the node use.
 type Limits struct {
 	Requests    int   `toml:"requests"`
 	BodyBytes   int64 `toml:"body_bytes"`
 	HeaderBytes int   `toml:"header_bytes"`
 }
 
-// Capacity says what the node's VM has.
+// Capacity describes the resources of the node's VM.
 type Capacity struct {
-	// Cores is its share of processor cores, and LinkMbps the bandwidth of its link.
+	// Cores is the number of processor cores, which may be a fraction, and LinkMbps the bandwidth of the network link.
 	Cores    float64 `toml:"cores"`
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
-// Log says how much is logged.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Trial is for measuring what a mechanism is worth. In operation it is left out.
+// Trial disables mechanisms to measure their effect. It is not for production use.
 type Trial struct {
-	// Off names mechanisms that are switched off.
+	// Off lists the mechanisms to disable.
 	Off []string `toml:"off"`
 }
 
-// Settings is the whole file.
+// Settings holds the contents of a settings file.
 type Settings struct {
 	Node       Node       `toml:"node"`
 	Store      Store      `toml:"store"`
@@ -148,7 +148,7 @@
 	Retries    Retries    `toml:"retries"`
 	Workspaces Workspaces `toml:"workspaces"`
 	Cold       Cold       `toml:"cold"`
-	// Halls says which region each hall is in. Those that are missing are in a region of their own.
+	// Halls maps Halls to regions. A Hall that is not listed is a region of its own.
 	Halls     map[string]string `toml:"halls"`
 	Operators Operators         `toml:"operators"`
 	Limits    Limits            `toml:"limits"`
@@ -157,7 +157,7 @@
 	Trial     Trial             `toml:"trial"`
 }
 
-// Defaults for what the file leaves out. The bounds are those of the users' platform.
+// Defaults for keys that the file omits. The bounds are those of the users' platform.
 const (
 	defaultRequests           = 4096
 	defaultBodyBytes          = 64 << 20
@@ -171,7 +171,7 @@
 	defaultRetryWindow        = 10 * clock.Second
 	defaultWorkspaceOvershoot = 0.1
 	defaultWorkspaceSlack     = 20
-	// defaultColdOvershoot holds cold targets to what they withstand.
+	// defaultColdOvershoot limits targets that are warming up to exactly the rate in the desired state.
 	defaultColdOvershoot   = 1
 	defaultWorkspaceWindow = 5 * clock.Second
 	minRevoke              = 1 * clock.Second
@@ -196,7 +196,7 @@
 	}
 }
 
-// Load reads the file and returns its settings, or an error that names every key that is wrong.
+// Load reads the file and returns its settings, or an error that names every invalid key.
 func Load(path string) (s *Settings, err error) {
 	defer func() { err = errors.Wrapf(err, "settings %s", path) }()
 	text, err := os.ReadFile(path)
@@ -221,7 +221,7 @@
 	return s, c.err()
 }
 
-// A validator gathers what is wrong.
+// A validator collects the problems with the settings.
 type validator struct{ problems []string }
 
 func (c *validator) add(key, format string, args ...any) {
@@ -290,7 +290,7 @@
 	c.positive("retries.window", int64(s.Retries.Window))
 	c.positive("workspaces.window", int64(s.Workspaces.Window))
 	if r := s.Bounds.Revoke.Millis(); r != 0 && r < minRevoke {
-		c.add("bounds.revoke", "%d ms is less than word of the store takes; at least %d", r, minRevoke)
+		c.add("bounds.revoke", "%d ms is less than changes in the store take to reach nodes; at least %d", r, minRevoke)
 	}
 	if !(s.Workspaces.Overshoot >= 0) || !(s.Workspaces.Slack >= 0) {
 		c.add("workspaces", "overshoot %v and slack %v may not be negative", s.Workspaces.Overshoot, s.Workspaces.Slack)
@@ -323,7 +323,7 @@
 	}
 }
 
-// KeyBytes returns the fleet's keys.
+// KeyBytes returns the decoded keys.
 func (f Fleet) KeyBytes() [][]byte {
 	keys := make([][]byte, len(f.Keys))
 	for i, k := range f.Keys {
@@ -332,7 +332,7 @@
 	return keys
 }
 
-// RegionOf returns the region that the hall is in.
+// RegionOf returns the region of the Hall.
 func (s *Settings) RegionOf(h ident.Hall) ident.Region {
 	if r, found := s.Halls[string(h)]; found {
 		return ident.Region(r)
@@ -343,7 +343,7 @@
 	return ident.Region(h)
 }
 
-// PeersAddress returns where others reach the node.
+// PeersAddress returns the address that other nodes use to reach the node.
 func (n Node) PeersAddress() string {
 	if n.AdvertisePeers != "" {
 		return n.AdvertisePeers
