--- a/logs/sink.go
+++ b/logs/sink.go
@@ -1,5 +1,5 @@
-// Package logs writes a process's log without ever holding the process up. Lines wait in a bounded
-// buffer while the reader is slow, and are left out, and counted, when it is full.
+// Package logs writes a process's log without ever blocking the process. Lines wait in a bounded buffer
+// while the reader is slow; when the buffer is full, they are dropped and counted.
 package logs
 
 import (
@@ -14,32 +14,32 @@
 const (
 	// MaxPendingBytes bounds the bytes of lines that wait for a slow reader.
 	MaxPendingBytes = 1 << 20
-	// ordinaryDivisor is the part of MaxWaiting that ordinary lines may fill, so that failures and
-	// refusals still find room: one in so many.
+	// ordinaryDivisor limits ordinary lines to 1/ordinaryDivisor of MaxPendingBytes. The rest is reserved
+	// for failures and refusals.
 	ordinaryDivisor = 2
-	// batchDelay is how long lines wait for others, so that many are written by one call.
+	// batchDelay is how long lines wait for others, so that one call writes many.
 	batchDelay clock.Millis = 100
-	// maxWriteBytes bounds one write.
+	// maxWriteBytes is the batch size from which no more lines are added to a write.
 	maxWriteBytes = 64 << 10
-	// closeTimeout is how long Close waits for a reader.
+	// closeTimeout is how long Close waits for a slow reader.
 	closeTimeout clock.Millis = 250
 )
 
-// A Class says which lines are left out first.
+// A Class determines which lines are dropped first.
 type Class int
 
 // Classes of lines.
 const (
-	// Ordinary lines are left out first.
+	// Ordinary lines are dropped first.
 	Ordinary Class = iota
-	// Important lines are about failures, refusals, and what changes rarely.
+	// Important lines report failures, refusals and rare changes.
 	Important
 )
 
-// A Sink struct takes lines and writes them in the background. It is safe for concurrent use.
+// A Sink buffers lines and writes them in the background. It is safe for concurrent use.
 type Sink struct {
 	out io.Writer
-	// droppedNote makes the line that tells of lines left out.
+	// droppedNote formats the line that reports dropped lines.
 	droppedNote func(lines uint64) []byte
 
 	mu         sync.Mutex
@@ -55,14 +55,15 @@
 	done    chan struct{}
 }
 
-// NewSink returns a sink that writes to out. Note makes the line that says how many were left out.
+// NewSink returns a sink that writes to out. The function note formats the line that reports how many lines were
+// dropped.
 func NewSink(out io.Writer, note func(lines uint64) []byte) *Sink {
 	s := &Sink{out: out, droppedNote: note, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Enqueue takes a line, with its end, and never blocks. The line is not copied.
+// Enqueue adds a line, which includes its line break, and never blocks. The line is not copied.
 func (s *Sink) Enqueue(c Class, line []byte) {
 	limit := MaxPendingBytes
 	if c == Ordinary {
@@ -84,17 +85,17 @@
 	}
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (s *Sink) Dropped() uint64 {
 	return s.dropped.Load()
 }
 
-// Written returns how many bytes were written.
+// Written returns the number of bytes written.
 func (s *Sink) Written() uint64 {
 	return s.written.Load()
 }
 
-// Close writes what waits, if the reader takes it soon, and ends the sink.
+// Close writes the buffered lines and stops the sink. It does not wait longer than closeTimeout for the reader.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.stop) })
 	t := time.NewTimer(closeTimeout.Duration())
@@ -105,7 +106,7 @@
 	}
 }
 
-// Done is closed when the sink has ended.
+// Done returns a channel that is closed when the sink has stopped.
 func (s *Sink) Done() <-chan struct{} {
 	return s.done
 }
@@ -124,7 +125,7 @@
 	}
 }
 
-// waitForBatch waits for more lines, but not while the sink ends.
+// waitForBatch waits for more lines, unless the sink is closing.
 func (s *Sink) waitForBatch() {
 	t := time.NewTimer(batchDelay.Duration())
 	defer t.Stop()
@@ -134,7 +135,7 @@
 	}
 }
 
-// flush writes until nothing waits. A reader that has gone loses what is written.
+// flush writes until the buffer is empty. Lines are lost if the reader is gone: write errors are ignored.
 func (s *Sink) flush() {
 	for {
 		b := s.nextBatch()
@@ -146,7 +147,7 @@
 	}
 }
 
-// nextBatch returns the next lines to write, and first how many are missing before them.
+// nextBatch returns the next lines to write. A note on dropped lines, if any, follows them.
 func (s *Sink) nextBatch() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +160,7 @@
 	s.bytes -= len(b)
 	s.pending = s.pending[n:]
 	if len(s.pending) == 0 {
-		s.pending = nil // give the memory of a burst back
+		s.pending = nil // release the memory of a burst
 	}
 	if s.unreported > 0 {
 		b = append(b, s.droppedNote(s.unreported)...)
