--- a/logs/logs.go
+++ b/logs/logs.go
@@ -8,14 +8,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// A Log struct is a logrus logger whose lines go through a sink: warnings, errors and events that are
-// listed as kept before ordinary ones.
+// A Log is a logrus logger that writes through a Sink. Warnings and errors are Important, all others Ordinary.
 type Log struct {
 	*logrus.Logger
 	sink *Sink
 }
 
-// New returns a log that writes lines of key=value pairs of the level, and above, to out.
+// New returns a log that writes entries of at least the given level to out, as lines of key=value pairs.
 func New(out io.Writer, level string) (l *Log, err error) {
 	defer func() { err = errors.Wrap(err, "new log") }()
 	lv, err := logrus.ParseLevel(level)
@@ -27,7 +26,7 @@
 	l = &Log{Logger: logrus.New()}
 	l.SetLevel(lv)
 	l.SetOutput(io.Discard)
-	l.SetFormatter(discardFormatter{}) // the hook formats
+	l.SetFormatter(discardFormatter{}) // the hook formats entries
 	h.sink = NewSink(out, func(lines uint64) []byte {
 		e := l.WithFields(logrus.Fields{"event": "log_lines_dropped", "lines": lines})
 		e.Time, e.Level = time.Now(), logrus.WarnLevel
@@ -39,25 +38,25 @@
 	return l, nil
 }
 
-// Dropped returns how many lines were left out since the reader did not take them.
+// Dropped returns the number of lines dropped because the reader was too slow.
 func (l *Log) Dropped() uint64 { return l.sink.Dropped() }
 
-// Written returns how many bytes were written.
+// Written returns the number of bytes written.
 func (l *Log) Written() uint64 { return l.sink.Written() }
 
-// Close writes what waits, if the reader takes it soon.
+// Close writes the buffered lines, and gives up after a short time if the reader does not accept them.
 func (l *Log) Close() { l.sink.Close() }
 
-// Done is closed when the log has ended.
+// Done returns a channel that is closed when the log has stopped.
 func (l *Log) Done() <-chan struct{} { return l.sink.Done() }
 
-// discardFormatter formats nothing.
+// discardFormatter returns no output, so that logrus itself writes nothing.
 type discardFormatter struct{}
 
 // Format implements logrus.Formatter.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
-// A hook formats each entry and hands it to the sink.
+// A hook formats each entry and passes it to the sink.
 type hook struct {
 	formatter logrus.Formatter
 	sink      *Sink
@@ -68,7 +67,7 @@
 
 // Fire implements logrus.Hook.
 func (h *hook) Fire(e *logrus.Entry) error {
-	// The entry's own buffer is used again; the line stays in the sink's.
+	// logrus reuses the entry's buffer, but the sink keeps the line: format into a buffer of its own.
 	entry := *e
 	entry.Buffer = nil
 	b, err := h.formatter.Format(&entry)
@@ -79,7 +78,7 @@
 	return nil
 }
 
-// classOf keeps warnings and errors longest.
+// classOf returns the class of entries of the level.
 func classOf(l logrus.Level) Class {
 	if l <= logrus.WarnLevel {
 		return Important
