--- a/logs/budget.go
+++ b/logs/budget.go
@@ -6,8 +6,8 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A Limiter bounds the lines of one kind: so many a second are written, the others are counted and told of in one line. What
-// a node hears of grows with the fleet, and its log must not. It is safe for concurrent use.
+// A Limiter limits the log lines of one kind per second, and counts the others, for one line that reports them. The number of
+// events that a node sees grows with the fleet, and its log must not. It is safe for concurrent use.
 type Limiter struct {
 	clock     clock.Clock
 	perSecond int
@@ -18,12 +18,12 @@
 	suppressed int
 }
 
-// NewLimiter returns a limiter of so many lines a second.
+// NewLimiter returns a limiter that allows perSecond lines a second.
 func NewLimiter(c clock.Clock, perSecond int) *Limiter {
 	return &Limiter{clock: c, perSecond: perSecond}
 }
 
-// Allow says whether a line may be written now, and counts it otherwise.
+// Allow reports whether a line may be written now, and counts it as suppressed otherwise.
 func (b *Limiter) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,7 +38,8 @@
 	return false
 }
 
-// TakeSuppressed returns how many lines were not written since it was last called, once the second in which they came is over.
+// TakeSuppressed returns the number of suppressed lines and resets it. It returns 0 until the second in which Allow was last
+// called is over.
 func (b *Limiter) TakeSuppressed() (count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
