--- a/logs/budget_test.go
+++ b/logs/budget_test.go
@@ -8,8 +8,8 @@
 	"github.com/tinladder/tinladder/logs"
 )
 
-// TestLinesAreBounded has 10,000 records come in one second, as to a node of a large fleet that starts: it wrote a line for
-// each of them.
+// TestLinesAreBounded requests 10,000 lines in one second. A node that starts in a large fleet receives that many records,
+// and used to log each of them.
 func TestLinesAreBounded(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(5000)
