--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -15,7 +15,7 @@
 	"github.com/tinladder/tinladder/logs"
 )
 
-// blockedWriter is a reader that takes nothing until it is let go.
+// blockedWriter blocks writes until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -35,8 +35,8 @@
 	return s.buf.String()
 }
 
-// TestReaderThatStopsHoldsNothingUp logs far more than is kept while nobody reads, and then lets the
-// reader go on. Failures are there though ordinary lines came first, and the rest is counted.
+// TestReaderThatStopsHoldsNothingUp logs far more than the buffer holds while the writer blocks, and then releases
+// it. The failures must be written though ordinary lines came first, and the dropped lines must be counted.
 func TestReaderThatStopsHoldsNothingUp(t *testing.T) {
 	is := is.New(t)
 	out := &blockedWriter{release: make(chan struct{})}
@@ -50,7 +50,7 @@
 	for i := range 1000 {
 		l.WithFields(logrus.Fields{"event": "request_failed", "request": fmt.Sprint("f", i)}).Warn()
 	}
-	is.True(time.Since(begin) < 20*time.Second) // it would never end if it blocked
+	is.True(time.Since(begin) < 20*time.Second) // without buffering, logging would block for ever
 	is.True(l.Dropped() > lines/2)
 	var m runtime.MemStats
 	runtime.GC()
@@ -65,7 +65,7 @@
 	is.Equal(uint64(len(text)), l.Written())
 }
 
-// reportedDropped adds up how many lines the log says are missing.
+// reportedDropped returns the sum of dropped lines that the log reports.
 func reportedDropped(text string) (sum uint64) {
 	for line := range strings.SplitSeq(text, "\n") {
 		_, after, found := strings.Cut(line, "event=log_lines_dropped")
@@ -81,7 +81,7 @@
 	return sum
 }
 
-// TestCloseDoesNotWaitForEver ends a log whose reader never reads.
+// TestCloseDoesNotWaitForEver closes a log whose reader never reads.
 func TestCloseDoesNotWaitForEver(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe()
