--- a/config/writer_test.go
+++ b/config/writer_test.go
@@ -44,15 +44,15 @@
 	return &tlv1.Document{Key: "svc/w/" + name, Version: uint64(expected), Body: &tlv1.Document_Service{Service: s}}
 }
 
-// commitHook calls before ahead of the first commit, such as for a change by another operator.
+// commitHook calls beforeCommit ahead of the first commit, such as for a change by another operator.
 type commitHook struct {
 	store.Table
-	before func()
+	beforeCommit func()
 }
 
 func (t *commitHook) Commit(ctx context.Context, writes ...store.Write) error {
-	if f := t.before; f != nil {
-		t.before = nil
+	if f := t.beforeCommit; f != nil {
+		t.beforeCommit = nil
 		f()
 	}
 	return t.Table.Commit(ctx, writes...)
@@ -78,7 +78,7 @@
 	ctx := context.Background()
 	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
-	table := &commitHook{Table: m, before: func() {
+	table := &commitHook{Table: m, beforeCommit: func() {
 		_, err := other.Apply(ctx, config.Request{ID: "b", Author: "b", Document: service("s", 0, 2)})
 		is.NoErr(err)
 	}}
@@ -93,7 +93,7 @@
 	ctx := context.Background()
 	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
-	table := &commitHook{Table: m, before: func() {
+	table := &commitHook{Table: m, beforeCommit: func() {
 		_, err := other.Apply(ctx, config.Request{ID: "b", Document: service("other", 0, 2)})
 		is.NoErr(err)
 	}}
@@ -137,7 +137,7 @@
 	m := newTestTable(t)
 	table := &delayedTable{Table: m, hold: true}
 	w := config.NewWriter(table, clock.NewManual(1))
-	away := &commitHook{Table: table, before: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
+	away := &commitHook{Table: table, beforeCommit: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
 	_, err := config.NewWriter(away, clock.NewManual(1)).Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
 	is.True(errors.Is(err, config.ErrOutcomeUnknown))
 	m.SetFaults(standin.Faults{})
--- a/desired/desired.go
+++ b/desired/desired.go
@@ -56,11 +56,11 @@
 		return r.Backends[0].Service
 	}
 	n := draw(r.totalWeight)
-	for _, p := range r.Backends {
-		if n < p.Weight {
-			return p.Service
+	for _, b := range r.Backends {
+		if n < b.Weight {
+			return b.Service
 		}
-		n -= p.Weight
+		n -= b.Weight
 	}
 	return r.Backends[0].Service
 }
--- a/desired/group.go
+++ b/desired/group.go
@@ -24,8 +24,8 @@
 func newGroups(t *Table) *groups {
 	g := &groups{parent: map[string]string{}, services: map[Group][]string{}}
 	for _, r := range t.routes {
-		for _, p := range r.Backends {
-			g.union(hostPrefix+r.Host, servicePrefix+p.Service)
+		for _, b := range r.Backends {
+			g.union(hostPrefix+r.Host, servicePrefix+b.Service)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -35,9 +35,9 @@
 	return s.buf.String()
 }
 
-// TestReaderThatStopsHoldsNothingUp logs far more than the buffer holds while the writer blocks, and then releases
+// TestBlockedReaderDoesNotBlockLogging logs far more than the buffer holds while the writer blocks, and then releases
 // it. The failures must be written though ordinary lines came first, and the dropped lines must be counted.
-func TestReaderThatStopsHoldsNothingUp(t *testing.T) {
+func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	out := &blockedWriter{release: make(chan struct{})}
 	l, err := logs.New(out, "info")
--- a/logs/sink.go
+++ b/logs/sink.go
@@ -55,10 +55,10 @@
 	done    chan struct{}
 }
 
-// NewSink returns a sink that writes to out. The function note formats the line that reports how many lines were
+// NewSink returns a sink that writes to out. The function droppedNote formats the line that reports how many lines were
 // dropped.
-func NewSink(out io.Writer, note func(lines uint64) []byte) *Sink {
-	s := &Sink{out: out, droppedNote: note, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+func NewSink(out io.Writer, droppedNote func(lines uint64) []byte) *Sink {
+	s := &Sink{out: out, droppedNote: droppedNote, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -138,11 +138,11 @@
 // flush writes until the buffer is empty. Lines are lost if the reader is gone: write errors are ignored.
 func (s *Sink) flush() {
 	for {
-		b := s.nextBatch()
-		if len(b) == 0 {
+		batch := s.nextBatch()
+		if len(batch) == 0 {
 			return
 		}
-		n, _ := s.out.Write(b)
+		n, _ := s.out.Write(batch)
 		s.written.Add(uint64(n))
 	}
 }
@@ -151,20 +151,20 @@
 func (s *Sink) nextBatch() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var b []byte
+	var batch []byte
 	n := 0
-	for n < len(s.pending) && len(b) < maxWriteBytes {
-		b = append(b, s.pending[n]...)
+	for n < len(s.pending) && len(batch) < maxWriteBytes {
+		batch = append(batch, s.pending[n]...)
 		n++
 	}
-	s.bytes -= len(b)
+	s.bytes -= len(batch)
 	s.pending = s.pending[n:]
 	if len(s.pending) == 0 {
 		s.pending = nil // release the memory of a burst
 	}
 	if s.unreported > 0 {
-		b = append(b, s.droppedNote(s.unreported)...)
+		batch = append(batch, s.droppedNote(s.unreported)...)
 		s.unreported = 0
 	}
-	return b
+	return batch
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -35,8 +35,8 @@
 			is := is.New(t)
 			r := testRequest
 			c.mutate(&r)
-			for b, p := range quarantine.FingerprintsOf(&r) {
-				is.Equal(p != before[b], b < c.differ)
+			for scope, fp := range quarantine.FingerprintsOf(&r) {
+				is.Equal(fp != before[scope], scope < c.differ)
 			}
 		})
 	}
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -72,8 +72,8 @@
 	return &modelNode{list: quarantine.New(f.clock), seen: map[string]int{}, startedAt: f.clock.Now()}
 }
 
-// cut partitions the nodes into random groups.
-func (f *modelFleet) cut() {
+// partition assigns the nodes to random groups.
+func (f *modelFleet) partition() {
 	count := 1 + f.rand.IntN(len(f.nodes))
 	for i := range f.groups {
 		f.groups[i] = f.rand.IntN(count)
@@ -185,7 +185,7 @@
 		for i := range 2000 {
 			f.clock.Advance(tick)
 			if f.rand.IntN(40) == 0 {
-				f.cut()
+				f.partition()
 			}
 			if f.rand.IntN(100) == 0 {
 				f.nodes[f.rand.IntN(len(f.nodes))] = f.newNode()
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -297,16 +297,16 @@
 
 // Clear drops the crashes of a request, after a successful response, which a request that crashes targets never gets, or on
 // behalf of an operator. It returns what was known, and whether there was anything.
-func (l *List) Clear(fp Fingerprint) (was Suspect, found bool) {
+func (l *List) Clear(fp Fingerprint) (old Suspect, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
 		return Suspect{}, false
 	}
-	was = e.Suspect
+	old = e.Suspect
 	e.clear(l.clock.Now())
-	return was, true
+	return old, true
 }
 
 func (e *entry) clear(now clock.Millis) {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -87,17 +87,17 @@
 	is.True(!v.TrialDue && v.SingleAttempt())
 }
 
-func TestAGoodAnswerClears(t *testing.T) {
+func TestSuccessfulResponseClears(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	l := newHeldList(c)
-	old := crashReport(c, "t2")
+	lateReport := crashReport(c, "t2")
 	c.Advance(10)
 	was, found := l.Clear(testFingerprint)
 	is.True(found)
 	is.Equal(len(was.Crashes), crashThreshold)
 	is.Equal(l.Decide(testFingerprint), quarantine.Verdict{})
-	is.Equal(l.AddCrashes(old), quarantine.Unchanged) // the report is older than the successful answer
+	is.Equal(l.AddCrashes(lateReport), quarantine.Unchanged) // the report is older than the successful answer
 	_, found = l.Clear(testFingerprint)
 	is.True(!found)
 	c.Advance(1)
