--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -39,9 +39,9 @@
 // A Crash is the crash of one target while it ran the request.
 type Crash struct {
 	Target ident.Target
-	// SentAt is when the request was sent to it, and At when it crashed.
+	// SentAt is when the request was sent to the target, and At when the target crashed.
 	SentAt, At clock.Millis
-	// AtIsUpperBound reports whether At is the time of the report, and the crash may have been earlier.
+	// AtIsUpperBound is set if At is the time of the report, and the crash was no later than that.
 	AtIsUpperBound bool
 }
 
@@ -54,10 +54,10 @@
 	return max(diff, -diff) < sameCrashWindow || c.AtIsUpperBound && diff <= 0 || other.AtIsUpperBound && diff >= 0
 }
 
-// A Suspect struct is all that is known of one request under which targets crashed.
+// A Suspect is a request that crashed targets, with its crashes.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Scope is how much of the request the fingerprint covers.
+	// Scope is the part of the request that the fingerprint covers.
 	Scope Scope
 	// Service and Description identify the request to operators.
 	Service, Description string
