--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -97,7 +97,7 @@
 	is.True(found)
 	is.Equal(len(was.Crashes), crashThreshold)
 	is.Equal(l.Decide(testFingerprint), quarantine.Verdict{})
-	is.Equal(l.AddCrashes(lateReport), quarantine.Unchanged) // the report is older than the successful answer
+	is.Equal(l.AddCrashes(lateReport), quarantine.Unchanged) // the report is older than the successful response
 	_, found = l.Clear(testFingerprint)
 	is.True(!found)
 	c.Advance(1)
