--- a/config/document_test.go
+++ b/config/document_test.go
@@ -22,7 +22,7 @@
 func TestCheckNamesTheFieldThatIsWrong(t *testing.T) {
 	cases := []struct {
 		want   string
-		spoils func(*tlv1.Service)
+		mutate func(*tlv1.Service)
 	}{
 		{"", func(*tlv1.Service) {}},
 		{"workspace", func(s *tlv1.Service) { s.Workspace = "a/b" }},
@@ -42,7 +42,7 @@
 		t.Run(c.want, func(t *testing.T) {
 			is := is.New(t)
 			s := validService()
-			c.spoils(s)
+			c.mutate(s)
 			d := &tlv1.Document{Body: &tlv1.Document_Service{Service: s}}
 			key, err := config.KeyOf(d)
 			is.NoErr(err)
--- a/desired/desired_test.go
+++ b/desired/desired_test.go
@@ -61,24 +61,24 @@
 // requests, and must not take over those of the invalid one.
 func TestInvalidRouteAffectsOnlyItself(t *testing.T) {
 	cases := []struct {
-		name   string
-		faulty *tlv1.DesiredRoute
+		name    string
+		invalid *tlv1.DesiredRoute
 		// path belongs to the invalid route; empty if the route has no host or path.
 		path string
 	}{
-		{name: "no host", faulty: route("r", "", "/x/")},
-		{name: "no prefix", faulty: route("r", "a", "")},
-		{name: "bare prefix", faulty: route("r", "a", "/x"), path: "/x/1"},
-		{name: "unknown service", faulty: route("r", "a", "/x/", &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
-		{name: "one part unknown", faulty: route("r", "a", "/x/", &tlv1.Part{Service: "s", Weight: 1}, &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
-		{name: "no weight", faulty: route("r", "a", "/x/", &tlv1.Part{Service: "s"}), path: "/x/1"},
-		{name: "no parts", faulty: &tlv1.DesiredRoute{Name: "r", Host: "a", Prefix: "/x/"}, path: "/x/1"},
+		{name: "no host", invalid: route("r", "", "/x/")},
+		{name: "no prefix", invalid: route("r", "a", "")},
+		{name: "bare prefix", invalid: route("r", "a", "/x"), path: "/x/1"},
+		{name: "unknown service", invalid: route("r", "a", "/x/", &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
+		{name: "one part unknown", invalid: route("r", "a", "/x/", &tlv1.Part{Service: "s", Weight: 1}, &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
+		{name: "no weight", invalid: route("r", "a", "/x/", &tlv1.Part{Service: "s"}), path: "/x/1"},
+		{name: "no parts", invalid: &tlv1.DesiredRoute{Name: "r", Host: "a", Prefix: "/x/"}, path: "/x/1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			s := state(route("whole", "a", "/"))
-			s.Routes = append(s.Routes, c.faulty)
+			s.Routes = append(s.Routes, c.invalid)
 			table, err := desired.Compile(s)
 			is.NoErr(err)
 			is.Equal(len(table.Faults()), 1)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestErrorNamesEachInvalidKey(t *testing.T) {
-	cases := []struct{ old, spoiled, named string }{
+	cases := []struct{ old, invalid, want string }{
 		{`name = "n1"`, `name = "n/1"`, "node.name"},
 		{`hall = "h1"`, ``, "node.hall"},
 		{`callers = "127.0.0.1:7003"`, `callers = "host:7001"`, "node.callers"},
@@ -64,13 +64,13 @@
 		{`name = "n1"`, `name = 1`, "name"},
 	}
 	for _, c := range cases {
-		t.Run(c.named, func(t *testing.T) {
+		t.Run(c.want, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(validSettings, c.old, c.spoiled, 1)
+			text := strings.Replace(validSettings, c.old, c.invalid, 1)
 			is.True(text != validSettings)
 			_, err := settings.Parse(text)
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), c.named))
+			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
 }
