--- a/settings/settings.go
+++ b/settings/settings.go
@@ -213,113 +213,113 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &validator{}
+	v := &validator{}
 	for _, k := range meta.Undecoded() {
-		c.add(k.String(), "no such key")
+		v.add(k.String(), "no such key")
 	}
-	s.validate(c)
-	return s, c.err()
+	s.validate(v)
+	return s, v.err()
 }
 
 // A validator collects the problems with the settings.
 type validator struct{ problems []string }
 
-func (c *validator) add(key, format string, args ...any) {
-	c.problems = append(c.problems, key+": "+fmt.Sprintf(format, args...))
+func (v *validator) add(key, format string, args ...any) {
+	v.problems = append(v.problems, key+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *validator) err() error {
-	if len(c.problems) == 0 {
+func (v *validator) err() error {
+	if len(v.problems) == 0 {
 		return nil
 	}
-	return errors.Newf("%s", strings.Join(c.problems, "; "))
+	return errors.Newf("%s", strings.Join(v.problems, "; "))
 }
 
-func (c *validator) name(key, s string) {
+func (v *validator) name(key, s string) {
 	if err := ident.CheckName(s); err != nil {
-		c.add(key, "%v", err)
+		v.add(key, "%v", err)
 	}
 }
 
-func (c *validator) address(key, s string) {
+func (v *validator) address(key, s string) {
 	if a, err := netip.ParseAddrPort(s); err != nil || a.Port() == 0 {
-		c.add(key, "%q is not an IP number and port", s)
+		v.add(key, "%q is not an IP number and port", s)
 	}
 }
 
-func (c *validator) optionalAddress(key, s string) {
+func (v *validator) optionalAddress(key, s string) {
 	if s != "" {
-		c.address(key, s)
+		v.address(key, s)
 	}
 }
 
-func (c *validator) positive(key string, n int64) {
+func (v *validator) positive(key string, n int64) {
 	if n <= 0 {
-		c.add(key, "%d is not positive", n)
+		v.add(key, "%d is not positive", n)
 	}
 }
 
-func (s *Settings) validate(c *validator) {
-	c.name("node.name", s.Node.Name)
-	c.name("node.hall", s.Node.Hall)
-	c.address("node.callers", s.Node.Callers)
-	c.address("node.peers", s.Node.Peers)
-	c.optionalAddress("node.advertise_peers", s.Node.AdvertisePeers)
-	c.optionalAddress("node.directory", s.Node.Directory)
-	c.optionalAddress("node.readiness", s.Node.Readiness)
-	c.optionalAddress("node.operators", s.Node.Operators)
-	c.optionalAddress("node.metrics", s.Node.Metrics)
+func (s *Settings) validate(v *validator) {
+	v.name("node.name", s.Node.Name)
+	v.name("node.hall", s.Node.Hall)
+	v.address("node.callers", s.Node.Callers)
+	v.address("node.peers", s.Node.Peers)
+	v.optionalAddress("node.advertise_peers", s.Node.AdvertisePeers)
+	v.optionalAddress("node.directory", s.Node.Directory)
+	v.optionalAddress("node.readiness", s.Node.Readiness)
+	v.optionalAddress("node.operators", s.Node.Operators)
+	v.optionalAddress("node.metrics", s.Node.Metrics)
 	for i, a := range s.Fleet.Seeds {
-		c.address(fmt.Sprintf("fleet.seeds[%d]", i), a)
+		v.address(fmt.Sprintf("fleet.seeds[%d]", i), a)
 	}
 	switch {
 	case s.Store.Embedded && s.Store.Address != "":
-		c.add("store.address", "set it, or store.embedded, and not both")
+		v.add("store.address", "set it, or store.embedded, and not both")
 	case !s.Store.Embedded:
-		c.address("store.address", s.Store.Address)
+		v.address("store.address", s.Store.Address)
 	}
-	s.validateBounds(c)
-	s.validateSecrets(c)
+	s.validateBounds(v)
+	s.validateSecrets(v)
 }
 
-func (s *Settings) validateBounds(c *validator) {
-	c.positive("bounds.apply", int64(s.Bounds.Apply))
-	c.positive("bounds.grace", int64(s.Bounds.Grace))
-	c.positive("bounds.leave", int64(s.Bounds.Leave))
-	c.positive("bounds.valid", int64(s.Bounds.Valid))
-	c.positive("retries.window", int64(s.Retries.Window))
-	c.positive("workspaces.window", int64(s.Workspaces.Window))
+func (s *Settings) validateBounds(v *validator) {
+	v.positive("bounds.apply", int64(s.Bounds.Apply))
+	v.positive("bounds.grace", int64(s.Bounds.Grace))
+	v.positive("bounds.leave", int64(s.Bounds.Leave))
+	v.positive("bounds.valid", int64(s.Bounds.Valid))
+	v.positive("retries.window", int64(s.Retries.Window))
+	v.positive("workspaces.window", int64(s.Workspaces.Window))
 	if r := s.Bounds.Revoke.Millis(); r != 0 && r < minRevoke {
-		c.add("bounds.revoke", "%d ms is less than changes in the store take to reach nodes; at least %d", r, minRevoke)
+		v.add("bounds.revoke", "%d ms is less than changes in the store take to reach nodes; at least %d", r, minRevoke)
 	}
 	if !(s.Workspaces.Overshoot >= 0) || !(s.Workspaces.Slack >= 0) {
-		c.add("workspaces", "overshoot %v and slack %v may not be negative", s.Workspaces.Overshoot, s.Workspaces.Slack)
+		v.add("workspaces", "overshoot %v and slack %v may not be negative", s.Workspaces.Overshoot, s.Workspaces.Slack)
 	}
 	if !(s.Cold.Overshoot >= 0) || !(s.Cold.Slack >= 0) {
-		c.add("cold", "overshoot %v and slack %v may not be negative", s.Cold.Overshoot, s.Cold.Slack)
+		v.add("cold", "overshoot %v and slack %v may not be negative", s.Cold.Overshoot, s.Cold.Slack)
 	}
-	c.positive("limits.requests", int64(s.Limits.Requests))
-	c.positive("limits.body_bytes", s.Limits.BodyBytes)
-	c.positive("limits.header_bytes", int64(s.Limits.HeaderBytes))
+	v.positive("limits.requests", int64(s.Limits.Requests))
+	v.positive("limits.body_bytes", s.Limits.BodyBytes)
+	v.positive("limits.header_bytes", int64(s.Limits.HeaderBytes))
 	if !(s.Capacity.Cores > 0) || !(s.Capacity.LinkMbps > 0) {
-		c.add("capacity", "cores %v and link_mbps %v must be positive", s.Capacity.Cores, s.Capacity.LinkMbps)
+		v.add("capacity", "cores %v and link_mbps %v must be positive", s.Capacity.Cores, s.Capacity.LinkMbps)
 	}
 	if !(s.Retries.Ratio >= 0) || !(s.Retries.Slack >= 0) {
-		c.add("retries", "ratio %v and slack %v may not be negative", s.Retries.Ratio, s.Retries.Slack)
+		v.add("retries", "ratio %v and slack %v may not be negative", s.Retries.Ratio, s.Retries.Slack)
 	}
 }
 
-func (s *Settings) validateSecrets(c *validator) {
+func (s *Settings) validateSecrets(v *validator) {
 	for i, k := range s.Fleet.Keys {
 		if b, err := hex.DecodeString(k); err != nil || len(b) < minKeyBytes {
-			c.add(fmt.Sprintf("fleet.keys[%d]", i), "want at least %d bytes as hex", minKeyBytes)
+			v.add(fmt.Sprintf("fleet.keys[%d]", i), "want at least %d bytes as hex", minKeyBytes)
 		}
 	}
 	if s.Node.Operators == "" && s.Operators.AdminTokenSHA256 == "" {
 		return
 	}
 	if b, err := hex.DecodeString(s.Operators.AdminTokenSHA256); err != nil || len(b) != hashBytes {
-		c.add("operators.admin_token_sha256", "want a SHA-256 as hex")
+		v.add("operators.admin_token_sha256", "want a SHA-256 as hex")
 	}
 }
 
