--- a/config/document.go
+++ b/config/document.go
@@ -1,5 +1,5 @@
-// Package config holds the fleet's configuration: its documents and their checks, the writer
-// that makes changes through the table, the log that nodes read, and what one node holds.
+// Package config implements the fleet's configuration: the validation of documents, a writer that applies
+// changes to the store, and a log for reading them.
 package config
 
 import (
@@ -13,18 +13,18 @@
 
 // Limits of a document.
 const (
-	MaxTargets  = 2000
-	MaxRoutes   = 500
-	MaxSlots    = 1 << 16
-	MaxDeadline = 10 * 60 * 1000
-	MaxRetries  = 5
-	MaxNodes    = 64
-	MaxQueue    = 1 << 16
-	MaxTokens   = 16
-	hashLen     = 32
+	MaxTargets     = 2000
+	MaxRoutes      = 500
+	MaxSlots       = 1 << 16
+	MaxDeadlineMs  = 10 * 60 * 1000
+	MaxRetries     = 5
+	MaxNodes       = 64
+	MaxQueue       = 1 << 16
+	MaxTokens      = 16
+	tokenHashBytes = 32
 )
 
-// Defaults for what a document leaves out.
+// Defaults for fields that a document omits.
 const (
 	DefaultNodes       = 3
 	DefaultQueue       = 512
@@ -32,10 +32,10 @@
 	DefaultDeadlineMs  = 10_000
 )
 
-// ErrInvalid marks every error that says what is wrong with a document.
+// ErrInvalid marks every error about an invalid document.
 var ErrInvalid = errors.New("document is not valid")
 
-// KeyOf returns the key under which the document's body belongs.
+// KeyOf returns the key that the document's body requires.
 func KeyOf(d *tlv1.Document) (ident.Key, error) {
 	switch b := d.GetBody().(type) {
 	case *tlv1.Document_Service:
@@ -49,7 +49,7 @@
 	return "", errors.Mark(errors.New("document has no body"), ErrInvalid)
 }
 
-// Check returns an error marked ErrInvalid that names the first field that is wrong.
+// Check validates a document. Its error is marked ErrInvalid and names the first invalid field.
 func Check(d *tlv1.Document) (err error) {
 	defer func() { err = markInvalid(err) }()
 	key, err := KeyOf(d)
@@ -92,8 +92,8 @@
 		return errors.Newf("at most %d tokens", MaxTokens)
 	}
 	for i, h := range hashes {
-		if len(h) != hashLen {
-			return errors.Newf("[%d]: want %d bytes, got %d", i, hashLen, len(h))
+		if len(h) != tokenHashBytes {
+			return errors.Newf("[%d]: want %d bytes, got %d", i, tokenHashBytes, len(h))
 		}
 	}
 	return nil
@@ -174,8 +174,8 @@
 		return errors.Newf("host: %q is not a host name", r.GetHost())
 	case r.GetRepeat() == tlv1.Repeat_REPEAT_UNSPECIFIED:
 		return errors.New("repeat: say whether requests are repeatable or run once")
-	case r.GetDeadlineMs() < 0 || r.GetDeadlineMs() > MaxDeadline:
-		return errors.Newf("deadline_ms: %d is not in 0 to %d", r.GetDeadlineMs(), MaxDeadline)
+	case r.GetDeadlineMs() < 0 || r.GetDeadlineMs() > MaxDeadlineMs:
+		return errors.Newf("deadline_ms: %d is not in 0 to %d", r.GetDeadlineMs(), MaxDeadlineMs)
 	case r.GetRetries() > MaxRetries:
 		return errors.Newf("retries: at most %d", MaxRetries)
 	case r.GetRetries() > 0 && r.GetRepeat() == tlv1.Repeat_REPEAT_ONCE:
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Nodes returns how many nodes serve s.
+// Nodes returns the number of nodes that serve s.
 func Nodes(s *tlv1.Service) int {
 	if s.GetNodes() == 0 {
 		return DefaultNodes
--- a/config/writer.go
+++ b/config/writer.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Rows of the table. Every change writes its document, a row of the log, a row that finds it by
-// its id, a row of the document's history, and the head of the log, all in one commit.
+// Keys of rows in the store. One commit writes all rows of a change: the document, a row of the log, a row
+// under the change's id, a row of the document's history, and the head of the log.
 const (
 	headRow       = "head"
 	changePrefix  = "change/"
@@ -24,21 +24,21 @@
 )
 
 const (
-	// maxRaces is how often a change is tried again when another one took its place in the log.
-	maxRaces = 32
-	// maxReads is how often the fate of a commit without answer is asked after.
-	maxReads = 8
+	// maxCommitTries is how often a change is tried while others take its place in the log.
+	maxCommitTries = 32
+	// maxResolveTries is how often Apply queries the outcome of a commit whose response was lost.
+	maxResolveTries = 8
 )
 
 // Errors of a change.
 var (
-	// ErrVoided says that the change was not made, and never will be.
+	// ErrVoided: the change was not applied, and never will be.
 	ErrVoided = errors.New("change was not made")
-	// ErrUndecided says that nobody knows yet; Resolve settles it once the table answers.
-	ErrUndecided = errors.New("change may have been made")
+	// ErrOutcomeUnknown: the change may have been applied. Resolve finds out once the store answers.
+	ErrOutcomeUnknown = errors.New("change may have been made")
 )
 
-// A StaleError says that a change expected another version than the one in the table.
+// A StaleError reports that a change expected another version than the one in the store.
 type StaleError struct {
 	Key      ident.Key
 	Expected ident.Version
@@ -50,21 +50,21 @@
 	return fmt.Sprintf("%s: expected version %d, but version %d is in force", e.Key, e.Expected, e.Current)
 }
 
-// A Request struct is a change that an operator wants.
+// A Request is an operator's request to change a document.
 type Request struct {
-	// ID names the change; a request sent again makes no second one.
-	ID  string
-	Who string
-	// Document carries the wanted state; its version is the one expected.
+	// ID identifies the change and makes the request idempotent.
+	ID     string
+	Author string
+	// Document is the new document. Its version is the one that it replaces.
 	Document *tlv1.Document
 }
 
-// A Writer makes changes.
+// A Writer applies changes.
 type Writer interface {
-	// Apply makes the change, or says why not: ErrInvalid, *StaleError, ErrVoided, ErrUndecided
-	// or store.ErrUnavailable, the last only if nothing was written.
+	// Apply applies the change. Its errors are ErrInvalid, *StaleError, ErrVoided, ErrOutcomeUnknown and
+	// store.ErrUnavailable, the last only if nothing was written.
 	Apply(ctx context.Context, r Request) (*tlv1.Change, error)
-	// Resolve says what became of a change, and voids it if it was not made.
+	// Resolve returns the outcome of a change, and voids it if it was not applied.
 	Resolve(ctx context.Context, id string) (*tlv1.Change, error)
 }
 
@@ -73,13 +73,13 @@
 	clock clock.Clock
 }
 
-// NewWriter returns a Writer on the table.
+// NewWriter returns a Writer that writes to the table.
 func NewWriter(t store.Table, c clock.Clock) Writer {
 	return &writer{table: t, clock: c}
 }
 
-// state is what a change is built on.
-type state struct {
+// snapshot holds the rows that a change is based on.
+type snapshot struct {
 	id   store.Row
 	head store.Row
 	doc  store.Row
@@ -93,8 +93,8 @@
 	if err := ident.CheckName(r.ID); err != nil {
 		return nil, markInvalid(errors.Wrap(err, "change id"))
 	}
-	for range maxRaces {
-		c, done, err := w.try(ctx, r)
+	for range maxCommitTries {
+		c, done, err := w.attempt(ctx, r)
 		if done || err != nil {
 			return c, err
 		}
@@ -102,14 +102,14 @@
 	return nil, errors.Wrap(store.ErrUnavailable, "log is too busy")
 }
 
-// try makes one attempt. It is not done if another change was faster.
-func (w *writer) try(ctx context.Context, r Request) (c *tlv1.Change, done bool, err error) {
-	s, err := w.read(ctx, r)
+// attempt tries to commit the change. It returns done = false if another change was committed first.
+func (w *writer) attempt(ctx context.Context, r Request) (c *tlv1.Change, done bool, err error) {
+	s, err := w.readSnapshot(ctx, r)
 	if err != nil {
 		return nil, false, err
 	}
 	if s.id.Version > 0 {
-		c, err := made(s.id)
+		c, err := decodeChange(s.id)
 		return c, true, err
 	}
 	c, err = w.build(r, s)
@@ -128,21 +128,21 @@
 	case errors.As(err, &conflict):
 		return nil, false, nil
 	}
-	c, err = w.settle(ctx, r.ID)
+	c, err = w.resolveLostCommit(ctx, r.ID)
 	return c, true, err
 }
 
-func (w *writer) read(ctx context.Context, r Request) (s state, err error) {
+func (w *writer) readSnapshot(ctx context.Context, r Request) (s snapshot, err error) {
 	rows, err := w.table.Read(ctx, idPrefix+r.ID, headRow, r.Document.GetKey())
 	if err != nil {
-		return state{}, err
+		return snapshot{}, err
 	}
-	return state{id: rows[0], head: rows[1], doc: rows[2]}, nil
+	return snapshot{id: rows[0], head: rows[1], doc: rows[2]}, nil
 }
 
-// build returns the change that follows the state read.
-func (w *writer) build(r Request, s state) (*tlv1.Change, error) {
-	current, err := documentIn(s.doc)
+// build returns the change that follows the snapshot.
+func (w *writer) build(r Request, s snapshot) (*tlv1.Change, error) {
+	current, err := decodeDocument(s.doc)
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 			Current:  ident.Version(current.GetVersion()),
 		}
 	}
-	head, err := seqIn(s.head)
+	head, err := decodeHead(s.head)
 	if err != nil {
 		return nil, err
 	}
@@ -163,14 +163,14 @@
 	return &tlv1.Change{
 		Id:       r.ID,
 		Seq:      seq,
-		Who:      r.Who,
+		Who:      r.Author,
 		AtMs:     int64(w.clock.Now()),
 		Document: doc,
 		Replaced: current.GetVersion(),
 	}, nil
 }
 
-func writesFor(c *tlv1.Change, s state) ([]store.Write, error) {
+func writesFor(c *tlv1.Change, s snapshot) ([]store.Write, error) {
 	change, err := proto.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -181,19 +181,19 @@
 	}
 	return []store.Write{
 		{Key: idPrefix + c.GetId(), Value: change},
-		{Key: headRow, Value: seqValue(c.GetSeq()), Expected: s.head.Version},
+		{Key: headRow, Value: encodeHead(c.GetSeq()), Expected: s.head.Version},
 		{Key: changePrefix + seqKey(c.GetSeq()), Value: change},
 		{Key: historyPrefix + c.GetDocument().GetKey() + "/" + seqKey(c.GetSeq()), Value: change},
 		{Key: c.GetDocument().GetKey(), Value: doc, Expected: s.doc.Version},
 	}, nil
 }
 
-// seqValue is the value of the head of the log: the last change's sequence number.
-func seqValue(seq uint64) []byte {
+// encodeHead returns the value of the head row: the last change's sequence number.
+func encodeHead(seq uint64) []byte {
 	return []byte(strconv.FormatUint(seq, 10))
 }
 
-func seqIn(head store.Row) (uint64, error) {
+func decodeHead(head store.Row) (uint64, error) {
 	if head.Version == 0 {
 		return 0, nil
 	}
@@ -205,10 +205,10 @@
 	return fmt.Sprintf(seqFormat, seq)
 }
 
-// settle finds out what became of a commit whose answer was lost. It reads the change's own
-// row again and never guesses; the same rule as section 4.2 of "Spot and Actor Membership".
-func (w *writer) settle(ctx context.Context, id string) (*tlv1.Change, error) {
-	for range maxReads {
+// resolveLostCommit determines the outcome of a commit whose response was lost. It relies only on the
+// change's own row in the store, as in section 4.2 of "Spot and Actor Membership".
+func (w *writer) resolveLostCommit(ctx context.Context, id string) (*tlv1.Change, error) {
+	for range maxResolveTries {
 		c, err := w.Resolve(ctx, id)
 		if err == nil || !errors.Is(err, store.ErrUnavailable) {
 			return c, err
@@ -217,7 +217,7 @@
 			break
 		}
 	}
-	return nil, errors.Wrapf(ErrUndecided, "ask after change %s later", id)
+	return nil, errors.Wrapf(ErrOutcomeUnknown, "ask after change %s later", id)
 }
 
 func (w *writer) Resolve(ctx context.Context, id string) (c *tlv1.Change, err error) {
@@ -227,12 +227,12 @@
 		return nil, err
 	}
 	if rows[0].Version > 0 {
-		return made(rows[0])
+		return decodeChange(rows[0])
 	}
 	return w.void(ctx, id)
 }
 
-// void takes the change's own row, so that a late commit of it must fail.
+// void writes the change's own row, so that a delayed commit of the change fails with a conflict.
 func (w *writer) void(ctx context.Context, id string) (*tlv1.Change, error) {
 	c := &tlv1.Change{Id: id, AtMs: int64(w.clock.Now()), Voided: true}
 	value, err := proto.Marshal(c)
@@ -245,12 +245,12 @@
 	case err == nil:
 		return c, ErrVoided
 	case errors.As(err, &conflict) && len(conflict.Rows) > 0:
-		return made(conflict.Rows[0])
+		return decodeChange(conflict.Rows[0])
 	}
 	return nil, err
 }
 
-func made(r store.Row) (*tlv1.Change, error) {
+func decodeChange(r store.Row) (*tlv1.Change, error) {
 	c := &tlv1.Change{}
 	if err := proto.Unmarshal(r.Value, c); err != nil {
 		return nil, errors.Wrapf(err, "row %s", r.Key)
@@ -261,7 +261,7 @@
 	return c, nil
 }
 
-func documentIn(r store.Row) (*tlv1.Document, error) {
+func decodeDocument(r store.Row) (*tlv1.Document, error) {
 	d := &tlv1.Document{}
 	if err := proto.Unmarshal(r.Value, d); err != nil {
 		return nil, errors.Wrapf(err, "row %s", r.Key)
--- a/desired/desired.go
+++ b/desired/desired.go
@@ -1,5 +1,5 @@
-// Package desired holds the desired state of a fleet: which requests lead to which services, and
-// what callers may send. A state is whole; a node uses the newest version that it has seen.
+// Package desired holds the desired state of a fleet: which requests are routed to which services, and
+// what callers may send. Each version is complete in itself; a node uses the newest one that it has seen.
 package desired
 
 import (
@@ -18,77 +18,77 @@
 // A Version orders desired states.
 type Version uint64
 
-// A Part struct is a share of a route's requests.
-type Part struct {
+// A Backend is a service that gets a share of a route's requests, by weight.
+type Backend struct {
 	Service string
 	Weight  uint32
 }
 
-// A Route struct leads the requests of a host below a path prefix to services.
+// A Route routes the requests for a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest time that a request may take.
 	Timeout clock.Millis
-	// Aim is the time within which an answer is worth the most.
-	Aim clock.Millis
-	// Rank says who waits when there is too much work; 0 goes first.
-	Rank uint32
-	// Attempts is the most targets that may run one request.
-	Attempts int
-	// Regions are the only ones that may serve the route's requests; empty stands for all.
+	// Objective is the latency objective: the response time to stay within.
+	Objective clock.Millis
+	// Priority decides who goes first under overload; 0 is the highest.
+	Priority uint32
+	// MaxAttempts is how many targets may run one request.
+	MaxAttempts int
+	// Regions lists the regions that may serve the requests; empty means all.
 	Regions []ident.Region
-	// Parts are empty where the route cannot be used, as Fault says: its requests lead nowhere.
-	Parts  []Part
-	Fault  string
-	weight uint32
+	// Backends is empty if the route is not valid. Fault then says why, and its requests are not served.
+	Backends    []Backend
+	Fault       string
+	totalWeight uint32
 }
 
-// Service draws the service for one request, by weight. Draw returns a random number below n. The
-// route must have no fault.
-func (r *Route) Service(draw func(n uint32) uint32) string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+// PickService returns the service for one request, a weighted random choice. The function draw returns a
+// random number below n. The route must be valid.
+func (r *Route) PickService(draw func(n uint32) uint32) string {
+	if len(r.Backends) == 1 {
+		return r.Backends[0].Service
 	}
-	n := draw(r.weight)
-	for _, p := range r.Parts {
-		if n < p.Weight {
-			return p.Service
+	n := draw(r.totalWeight)
+	for _, b := range r.Backends {
+		if n < b.Weight {
+			return b.Service
 		}
-		n -= p.Weight
+		n -= b.Weight
 	}
-	return r.Parts[0].Service
+	return r.Backends[0].Service
 }
 
-// Limits bounds what callers may send, and how long they may take. 0 means no bound.
+// Limits bounds what callers may send, and how long they may take. 0 means no limit.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  clock.Millis
-	IdleTime    clock.Millis
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout clock.Millis
+	IdleTimeout   clock.Millis
 }
 
-// A Service struct is what is set for all targets of a service.
+// A Service holds the settings of a service that apply to all its targets.
 type Service struct {
 	Name        string
 	Connections int
-	// Cold is how long a target is cold after its start, and ColdPerSecond how many requests a second it withstands
-	// meanwhile, from all nodes together; 0 if there is no such bound.
-	Cold          clock.Millis
-	ColdPerSecond float64
+	// WarmupPeriod is how long a target warms up after its start, and WarmupPerSecond how many requests a second it can
+	// take meanwhile, from all nodes together; 0 means no limit.
+	WarmupPeriod    clock.Millis
+	WarmupPerSecond float64
 }
 
-// A Table struct is one desired state, ready for use. It is never changed.
+// A Table is a version of the desired state, indexed for lookups. It is immutable.
 type Table struct {
 	Version  Version
 	Limits   Limits
 	Services map[string]Service
-	// Access finds the workspaces of callers; nil if no request needs a key.
+	// Access looks up the Workspace of a caller; nil if no request needs a key.
 	Access *access.Directory
 	byHost map[string][]*Route
 	routes []*Route
@@ -97,8 +97,8 @@
 	groups *groups
 }
 
-// Compile checks a state and returns it ready for use. A route that cannot be used costs no more than
-// itself: it leads nowhere, or is left out if nobody can say which requests are its own. Faults names it.
+// Compile checks a state and builds its table. A route that is not valid affects no other: it serves no
+// requests, or is left out if it has no host or path prefix. Faults lists it.
 func Compile(s *tlv1.DesiredState) (t *Table, err error) {
 	defer func() { err = errors.Wrapf(err, "desired state %d", s.GetVersion()) }()
 	if s.GetVersion() == 0 {
@@ -111,31 +111,32 @@
 		byHost:   map[string][]*Route{},
 		state:    s,
 		Limits: Limits{
-			HeaderBytes: int(l.GetHeaderBytes()),
-			BodyBytes:   l.GetBodyBytes(),
-			HeaderTime:  clock.Millis(l.GetHeaderMs()),
-			IdleTime:    clock.Millis(l.GetIdleMs()),
+			HeaderBytes:   int(l.GetHeaderBytes()),
+			BodyBytes:     l.GetBodyBytes(),
+			HeaderTimeout: clock.Millis(l.GetHeaderMs()),
+			IdleTimeout:   clock.Millis(l.GetIdleMs()),
 		},
 	}
 	for _, svc := range s.GetServices() {
 		t.Services[svc.GetName()] = Service{
 			Name: svc.GetName(), Connections: int(svc.GetConnections()),
-			Cold: clock.Millis(svc.GetColdMs()), ColdPerSecond: svc.GetColdPerSecond(),
+			WarmupPeriod: clock.Millis(svc.GetColdMs()), WarmupPerSecond: svc.GetColdPerSecond(),
 		}
 	}
 	for _, r := range s.GetRoutes() {
-		t.add(r)
+		t.addRoute(r)
 	}
 	if s.GetKeyed() {
-		t.admit(s.GetWorkspaces())
+		t.addWorkspaces(s.GetWorkspaces())
 	}
-	t.sort()
+	t.sortRoutes()
 	t.groups = newGroups(t)
 	return t, nil
 }
 
-// admit takes in who may ask. A workspace that cannot be used costs no more than itself, and opens nothing.
-func (t *Table) admit(list []*tlv1.DesiredWorkspace) {
+// addWorkspaces adds the Workspaces whose callers have access. One that is not valid affects no other, and its keys grant
+// no access.
+func (t *Table) addWorkspaces(list []*tlv1.DesiredWorkspace) {
 	t.Access = access.NewDirectory()
 	for _, w := range list {
 		var keys []access.Digest
@@ -154,22 +155,22 @@
 	}
 }
 
-func (t *Table) add(d *tlv1.DesiredRoute) {
+func (t *Table) addRoute(d *tlv1.DesiredRoute) {
 	r := &Route{
-		Name:       d.GetName(),
-		Host:       strings.ToLower(d.GetHost()),
-		Prefix:     d.GetPrefix(),
-		Public:     d.GetPublic(),
-		Repeatable: d.GetRepeatable(),
-		Timeout:    clock.Millis(d.GetTimeoutMs()),
-		Aim:        clock.Millis(d.GetAimMs()),
-		Rank:       d.GetRank(),
-		Attempts:   max(int(d.GetAttempts()), 1),
-		Regions:    regions(d.GetRegions()),
+		Name:        d.GetName(),
+		Host:        strings.ToLower(d.GetHost()),
+		Prefix:      d.GetPrefix(),
+		Public:      d.GetPublic(),
+		Repeatable:  d.GetRepeatable(),
+		Timeout:     clock.Millis(d.GetTimeoutMs()),
+		Objective:   clock.Millis(d.GetAimMs()),
+		Priority:    d.GetRank(),
+		MaxAttempts: max(int(d.GetAttempts()), 1),
+		Regions:     regions(d.GetRegions()),
 	}
-	err := t.lead(r, d)
+	err := t.setBackends(r, d)
 	if err != nil {
-		r.Parts, r.Fault = nil, err.Error()
+		r.Backends, r.Fault = nil, err.Error()
 		t.faults = append(t.faults, errors.Wrapf(err, "route %q", r.Name))
 	}
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") {
@@ -189,8 +190,8 @@
 	return list
 }
 
-// lead sets where the route leads, and says why it cannot be used.
-func (t *Table) lead(r *Route, d *tlv1.DesiredRoute) error {
+// setBackends sets the backends of the route, or returns why it is not valid.
+func (t *Table) setBackends(r *Route, d *tlv1.DesiredRoute) error {
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return errors.Newf("host %q and prefix %q do not name a place", r.Host, r.Prefix)
 	}
@@ -201,22 +202,22 @@
 		if _, found := t.Services[p.GetService()]; !found {
 			return errors.Newf("no service %q", p.GetService())
 		}
-		r.Parts = append(r.Parts, Part{Service: p.GetService(), Weight: p.GetWeight()})
-		r.weight += p.GetWeight()
+		r.Backends = append(r.Backends, Backend{Service: p.GetService(), Weight: p.GetWeight()})
+		r.totalWeight += p.GetWeight()
 	}
-	if len(r.Parts) == 0 {
+	if len(r.Backends) == 0 {
 		return errors.New("leads to no service")
 	}
 	return nil
 }
 
-// Faults names the routes and workspaces that cannot be used, and why.
+// Faults returns an error for each route and Workspace that is not valid.
 func (t *Table) Faults() []error {
 	return t.faults
 }
 
-// sort puts the longest prefixes first.
-func (t *Table) sort() {
+// sortRoutes sorts the routes of each host by descending length of the prefix, for Find.
+func (t *Table) sortRoutes() {
 	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int {
 			return cmp.Compare(len(b.Prefix), len(a.Prefix))
@@ -224,9 +225,9 @@
 	}
 }
 
-// Find returns the route of the host with the longest prefix that the path begins with, or nil.
+// Find returns the route of the host with the longest prefix of the path, or nil.
 func (t *Table) Find(host, path string) *Route {
-	for _, r := range t.byHost[HostOf(host)] {
+	for _, r := range t.byHost[NormalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -234,9 +235,9 @@
 	return nil
 }
 
-// OfHost returns the routes of the host.
-func (t *Table) OfHost(host string) []*Route {
-	return t.byHost[HostOf(host)]
+// RoutesForHost returns the routes of the host.
+func (t *Table) RoutesForHost(host string) []*Route {
+	return t.byHost[NormalizeHost(host)]
 }
 
 // Routes returns all routes. The caller must not change them.
@@ -244,13 +245,13 @@
 	return t.routes
 }
 
-// State returns what the table was made from. The caller must not change it.
+// State returns the state that the table was built from. The caller must not change it.
 func (t *Table) State() *tlv1.DesiredState {
 	return t.state
 }
 
-// HostOf drops a port and the case of the host's name.
-func HostOf(host string) string {
+// NormalizeHost returns the host in lower case and without a port.
+func NormalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/desired/desired_test.go
+++ b/desired/desired_test.go
@@ -57,28 +57,28 @@
 	is.New(t).True(err != nil)
 }
 
-// TestOneFaultyRouteCostsItself puts a route that cannot be used beside a sound one. The sound one
-// leads where it did, and no other route takes over the requests of the one with the fault.
-func TestOneFaultyRouteCostsItself(t *testing.T) {
+// TestInvalidRouteAffectsOnlyItself adds an invalid route next to a valid one. The valid one must keep its
+// requests, and must not take over those of the invalid one.
+func TestInvalidRouteAffectsOnlyItself(t *testing.T) {
 	cases := []struct {
-		name   string
-		faulty *tlv1.DesiredRoute
-		// path is one of the faulty route's requests, if anybody can say which they are.
+		name    string
+		invalid *tlv1.DesiredRoute
+		// path belongs to the invalid route; empty if the route has no host or path.
 		path string
 	}{
-		{name: "no host", faulty: route("r", "", "/x/")},
-		{name: "no prefix", faulty: route("r", "a", "")},
-		{name: "bare prefix", faulty: route("r", "a", "/x"), path: "/x/1"},
-		{name: "unknown service", faulty: route("r", "a", "/x/", &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
-		{name: "one part unknown", faulty: route("r", "a", "/x/", &tlv1.Part{Service: "s", Weight: 1}, &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
-		{name: "no weight", faulty: route("r", "a", "/x/", &tlv1.Part{Service: "s"}), path: "/x/1"},
-		{name: "no parts", faulty: &tlv1.DesiredRoute{Name: "r", Host: "a", Prefix: "/x/"}, path: "/x/1"},
+		{name: "no host", invalid: route("r", "", "/x/")},
+		{name: "no prefix", invalid: route("r", "a", "")},
+		{name: "bare prefix", invalid: route("r", "a", "/x"), path: "/x/1"},
+		{name: "unknown service", invalid: route("r", "a", "/x/", &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
+		{name: "one part unknown", invalid: route("r", "a", "/x/", &tlv1.Part{Service: "s", Weight: 1}, &tlv1.Part{Service: "none", Weight: 1}), path: "/x/1"},
+		{name: "no weight", invalid: route("r", "a", "/x/", &tlv1.Part{Service: "s"}), path: "/x/1"},
+		{name: "no parts", invalid: &tlv1.DesiredRoute{Name: "r", Host: "a", Prefix: "/x/"}, path: "/x/1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			s := state(route("whole", "a", "/"))
-			s.Routes = append(s.Routes, c.faulty)
+			s.Routes = append(s.Routes, c.invalid)
 			table, err := desired.Compile(s)
 			is.NoErr(err)
 			is.Equal(len(table.Faults()), 1)
@@ -90,7 +90,7 @@
 			found := table.Find("a", c.path)
 			is.Equal(found.Name, "r")
 			is.True(found.Fault != "")
-			is.Equal(len(found.Parts), 0)
+			is.Equal(len(found.Backends), 0)
 		})
 	}
 }
@@ -102,12 +102,12 @@
 	is.NoErr(err)
 	counts := map[string]int{}
 	for i := range uint32(100) {
-		counts[table.Find("a", "/").Service(func(n uint32) uint32 { return i % n })]++
+		counts[table.Find("a", "/").PickService(func(n uint32) uint32 { return i % n })]++
 	}
 	is.Equal(counts, map[string]int{"s": 90, "u": 10})
 }
 
-func TestGroupsJoinWhatSharesHosts(t *testing.T) {
+func TestGroupsJoinServicesThatShareHosts(t *testing.T) {
 	is := is.New(t)
 	table, err := desired.Compile(state(route("1", "a", "/"), route("2", "a", "/t/", &tlv1.Part{Service: "t", Weight: 1}), route("3", "b", "/", &tlv1.Part{Service: "u", Weight: 1})))
 	is.NoErr(err)
@@ -136,7 +136,7 @@
 				t.Errorf("route %q cannot be found", r.Name)
 			}
 			if r.Fault == "" {
-				_ = r.Service(func(n uint32) uint32 { return n - 1 })
+				_ = r.PickService(func(n uint32) uint32 { return n - 1 })
 			}
 		}
 	})
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -12,71 +12,73 @@
 )
 
 const (
-	// crashThreshold crashes of as many targets quarantine a request. One or two may be chance.
+	// crashThreshold is the number of crashes that quarantines a request. One or two may be coincidence.
 	crashThreshold = 3
-	// singleAttemptThreshold is from how many sequential crashes on a request gets a single attempt: of those that were in
-	// flight by chance as one target crashed, nearly all are not in flight a second time.
+	// singleAttemptThreshold is the number of sequential crashes from which a request gets a single attempt. A request that
+	// merely was in flight when one target crashed is rarely in flight at a second crash.
 	singleAttemptThreshold = 2
-	// forgetAfter is how long crashes are remembered that were not enough: a request that comes more seldom ends few
-	// targets.
-	forgetAfter = 10 * clock.Minute
-	// clearedFor is how long it is remembered that a request was cleared, so that older reports of crashes are known as such.
-	clearedFor = 1 * clock.Minute
-	// maxEntries bounds the requests that are remembered, and maxCrashes the targets named with each.
+	// crashTTL is how long crashes below the threshold are remembered. A request that is sent more rarely than that crashes
+	// few targets.
+	crashTTL = 10 * clock.Minute
+	// clearedTTL is how long the clearing of a request is remembered, so that late reports of earlier crashes are ignored.
+	clearedTTL = 1 * clock.Minute
+	// maxEntries bounds the requests in a List, and maxCrashes the crashes stored for each.
 	maxEntries = 4096
 	maxCrashes = 6
-	// sameWithin is how far apart two reports of one crash may be: less than a target needs to start again.
-	sameWithin clock.Millis = 400
+	// sameCrashWindow is how far apart the times of two reports of one crash may be. It is shorter than the restart of a
+	// target, so that a second crash after a restart counts separately.
+	sameCrashWindow clock.Millis = 400
 )
 
-// trialWaits are the times until a request that is held back is let through once more, by how often it was. The first is
-// short: a request that was in flight by chance as many targets ended at once is free again before its caller gives up. The
-// others grow, for a request that still crashes its target each time; a new version of the target may cure it.
-var trialWaits = [...]clock.Millis{2 * clock.Second, 20 * clock.Second, 2 * clock.Minute, 20 * clock.Minute, 60 * clock.Minute}
+// trialDelays holds the delay before each trial of a quarantined request, by the number of trials so far. The first is
+// short, so that a request that merely was in flight when many targets crashed is released before its caller gives up. The
+// later ones grow, since each trial of a request that still crashes targets costs a target; a new version of the target may
+// fix the cause.
+var trialDelays = [...]clock.Millis{2 * clock.Second, 20 * clock.Second, 2 * clock.Minute, 20 * clock.Minute, 60 * clock.Minute}
 
-// A Crash struct is one target that crashed while it ran the request.
+// A Crash is the crash of one target while it ran the request.
 type Crash struct {
 	Target ident.Target
-	// From is when the request was sent to it, and At when it crashed.
-	From, At clock.Millis
-	// AtIsUpperBound says that At is when the crash was reported: it was no later than that.
+	// SentAt is when the request was sent to the target, and At when the target crashed.
+	SentAt, At clock.Millis
+	// AtIsUpperBound is set if At is the time of the report, and the crash was no later than that.
 	AtIsUpperBound bool
 }
 
-// same says whether two reports may be of one crash: several requests are lost by it, and several nodes see it.
-func (c Crash) same(x Crash) bool {
-	if c.Target != x.Target {
+// matches reports whether both reports may be of the same crash: it fails several requests and is seen by several nodes.
+func (c Crash) matches(other Crash) bool {
+	if c.Target != other.Target {
 		return false
 	}
-	apart := x.At - c.At
-	return max(apart, -apart) < sameWithin || c.AtIsUpperBound && apart <= 0 || x.AtIsUpperBound && apart >= 0
+	diff := other.At - c.At
+	return max(diff, -diff) < sameCrashWindow || c.AtIsUpperBound && diff <= 0 || other.AtIsUpperBound && diff >= 0
 }
 
-// A Case struct is all that is known of one request under which targets crashed.
-type Case struct {
+// A Suspect is a request that crashed targets, with its crashes.
+type Suspect struct {
 	Fingerprint Fingerprint
-	// Scope is how much of the request the fingerprint covers.
+	// Scope is the part of the request that the fingerprint covers.
 	Scope Scope
-	// Service and What name it for operators.
-	Service, What string
-	Crashes       []Crash
-	// Trials is how often it was let through since it is held back.
+	// Service and Description identify the request to operators.
+	Service, Description string
+	Crashes              []Crash
+	// Trials counts the trials since the request was quarantined.
 	Trials int
 }
 
-// Held says whether the request is held back.
-func (c *Case) Held() bool {
+// Held reports whether the request is quarantined.
+func (c *Suspect) Held() bool {
 	return len(c.Crashes) >= crashThreshold
 }
 
-// Recurring says whether so many crashed that it is hardly chance.
-func (c *Case) Recurring() bool {
+// Recurring reports whether there were too many crashes for a coincidence.
+func (c *Suspect) Recurring() bool {
 	return len(c.Crashes) >= singleAttemptThreshold
 }
 
-// sequentialCrashes counts crashes of which each target had the request only after the one before had crashed. Crashes of
-// overlapping attempts count once: a shared cause, such as a hall's power, ends many targets at a time.
-func (c *Case) sequentialCrashes() (count int) {
+// sequentialCrashes counts crashes of attempts that began after the previous crash. Crashes of overlapping attempts count
+// once: they may have a shared cause, such as a power failure in a Hall.
+func (c *Suspect) sequentialCrashes() (count int) {
 	var timed []Crash
 	for _, x := range c.Crashes {
 		if x.AtIsUpperBound {
@@ -89,72 +91,72 @@
 	for i := 0; i < len(timed); {
 		last := timed[i].At
 		count++
-		for i++; i < len(timed) && timed[i].From < last; {
+		for i++; i < len(timed) && timed[i].SentAt < last; {
 			i++
 		}
 	}
 	return count
 }
 
-// A Verdict struct is how a request is to be treated.
+// A Verdict says how to treat a request.
 type Verdict struct {
-	// Crashes counts the targets that crashed under the request, and SequentialCrashes those that crashed one after the
-	// other. With none, it is like any other.
+	// Crashes counts the crashes of targets that ran the request, and SequentialCrashes those in sequence. A request
+	// without crashes is not restricted.
 	Crashes, SequentialCrashes int
-	// Held requests are not sent, unless a trial is Due.
-	Held, Due bool
-	// RetryAfter is when the next trial is due.
+	// Held requests are quarantined: they are sent only as a trial, when TrialDue is set.
+	Held, TrialDue bool
+	// RetryAfter is the time until the next trial.
 	RetryAfter clock.Millis
 	Trials     int
 }
 
-// StricterThan says whether a request is restricted more by this verdict than by the other.
-func (v Verdict) StricterThan(than Verdict) bool {
-	if v.Held != than.Held {
+// StricterThan reports whether v restricts a request more than other does.
+func (v Verdict) StricterThan(other Verdict) bool {
+	if v.Held != other.Held {
 		return v.Held
 	}
-	return cmp.Or(cmp.Compare(v.RetryAfter, than.RetryAfter), cmp.Compare(v.Crashes, than.Crashes)) > 0
+	return cmp.Or(cmp.Compare(v.RetryAfter, other.RetryAfter), cmp.Compare(v.Crashes, other.Crashes)) > 0
 }
 
-// SingleAttempt says whether the request is sent to one target only.
+// SingleAttempt reports whether the request may be sent to one target only, without retries and hedges.
 func (v Verdict) SingleAttempt() bool {
 	return v.SequentialCrashes >= singleAttemptThreshold
 }
 
-// A Change says what the report of a crash changed.
+// A Change is the effect of a crash report.
 type Change int
 
 // Changes.
 const (
-	// Unchanged reports were known.
+	// Unchanged: the crashes were already known.
 	Unchanged Change = iota
-	// Suspected requests have one crash more, and are not quarantined.
+	// Suspected: there was a new crash, and the request is not quarantined.
 	Suspected
-	// Quarantined requests are held back from now on.
+	// Quarantined: a new crash reached the threshold.
 	Quarantined
-	// CrashedAgain requests were quarantined before, and have crashed one more target.
+	// CrashedAgain: the request was already quarantined, and crashed another target.
 	CrashedAgain
 )
 
-// String returns the change's name in the log.
+// String returns the name of the change in logs and metrics.
 func (c Change) String() string {
 	return [...]string{"nothing", "suspected", "held", "still"}[c]
 }
 
 type entry struct {
-	Case
+	Suspect
 	// since is when this node last learned of a crash or a trial.
 	since clock.Millis
-	// clearedAt is when it was last cleared, 0 if never.
+	// clearedAt is when the request was last cleared, or 0.
 	clearedAt clock.Millis
-	// stored says that the store names it, and dirty that this node has to write it to the store.
+	// stored is set if the store lists the request, and dirty if this node has to write it to the store.
 	stored, dirty bool
 }
 
-// A List struct holds the requests under which targets crashed, as one node knows them. It is safe for concurrent use.
+// A List holds the requests that crashed targets, as known to one node. It is safe for concurrent use.
 type List struct {
 	clock clock.Clock
-	// size is how many entries there are: while there are none, requests need no fingerprint.
+	// size is the number of entries. While it is 0, callers need not compute fingerprints.
 	size atomic.Int32
 
 	mu      sync.Mutex
@@ -166,53 +168,53 @@
 	return &List{clock: c, entries: map[Fingerprint]*entry{}}
 }
 
-// Empty says whether no request has any crash report.
+// Empty reports whether the list has no entries.
 func (l *List) Empty() bool {
 	return l.size.Load() == 0
 }
 
-// Decide says how a request is to be treated that is about to be sent.
-func (l *List) Decide(p Fingerprint) (v Verdict) {
+// Decide returns the verdict on a request that is about to be sent.
+func (l *List) Decide(fp Fingerprint) (v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil {
 		return v
 	}
 	v = Verdict{Crashes: len(e.Crashes), SequentialCrashes: e.sequentialCrashes(), Held: e.Held(), Trials: e.Trials}
 	if v.Held {
-		v.RetryAfter = max(e.since+v.wait()-l.clock.Now(), 0)
-		v.Due = v.RetryAfter == 0
+		v.RetryAfter = max(e.since+v.trialDelay()-l.clock.Now(), 0)
+		v.TrialDue = v.RetryAfter == 0
 	}
 	return v
 }
 
-// wait is how long a request that is held back is not tried. Where its targets crashed at once, they may have for another
-// reason, and the first trial is due now.
-func (v Verdict) wait() clock.Millis {
+// trialDelay returns the time between the last crash or trial and the next trial of a quarantined request. The first trial
+// is due at once if the targets crashed at the same time, since that may have another cause than the request.
+func (v Verdict) trialDelay() clock.Millis {
 	if v.Trials == 0 && v.SequentialCrashes < crashThreshold {
 		return 0
 	}
-	return trialWaits[min(v.Trials, len(trialWaits)-1)]
+	return trialDelays[min(v.Trials, len(trialDelays)-1)]
 }
 
-// Crashed takes in that targets crashed while they ran the request, as seen here or told by another node.
-func (l *List) Crashed(c Case) Change {
+// AddCrashes records the crashes of targets that ran the request, as seen by this node or reported by another one.
+func (l *List) AddCrashes(c Suspect) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(&c)
-	held := e.Held()
-	more := e.add(c.Crashes)
+	wasHeld := e.Held()
+	added := e.add(c.Crashes)
 	now := l.clock.Now()
 	if e.Trials < c.Trials {
 		e.Trials, e.since = c.Trials, now
 	}
-	if !more {
+	if !added {
 		return Unchanged
 	}
 	e.since = now
 	switch {
-	case held:
+	case wasHeld:
 		return CrashedAgain
 	case e.Held():
 		return Quarantined
@@ -220,49 +222,49 @@
 	return Suspected
 }
 
-// add notes the crashes that are new, and says whether there are any. Two in one report are two, also of one target.
-func (e *entry) add(list []Crash) (more bool) {
-	known := slices.Clone(e.Crashes)
+// add records the crashes that are not yet known, and reports whether there are any. Two crashes in one report count as
+// two, even if they are of the same target.
+func (e *entry) add(list []Crash) (added bool) {
+	unmatched := slices.Clone(e.Crashes)
 	for _, c := range list {
 		if e.clearedAt > 0 && c.At <= e.clearedAt || c.AtIsUpperBound && e.Held() {
 			continue
 		}
-		if i := slices.IndexFunc(known, c.same); i >= 0 {
-			known = slices.Delete(known, i, i+1)
+		if i := slices.IndexFunc(unmatched, c.matches); i >= 0 {
+			unmatched = slices.Delete(unmatched, i, i+1)
 			continue
 		}
-		more = true
+		added = true
 		if len(e.Crashes) == maxCrashes {
 			e.Crashes = slices.Delete(e.Crashes, 0, 1)
 		}
 		e.Crashes = append(e.Crashes, c)
 	}
-	return more
+	return added
 }
 
-// entry returns the request's entry, making it if there is none.
-func (l *List) entry(c *Case) *entry {
+// entry returns the entry of the request, and creates it if there is none.
+func (l *List) entry(c *Suspect) *entry {
 	e := l.entries[c.Fingerprint]
 	if e == nil {
-		l.makeRoom()
-		e = &entry{Case: Case{Fingerprint: c.Fingerprint, Scope: c.Scope}}
+		l.evictIfFull()
+		e = &entry{Suspect: Suspect{Fingerprint: c.Fingerprint, Scope: c.Scope}}
 		l.entries[c.Fingerprint] = e
 		l.size.Store(int32(len(l.entries)))
 	}
-	e.Service, e.What = cmp.Or(e.Service, c.Service), cmp.Or(e.What, c.What)
+	e.Service, e.Description = cmp.Or(e.Service, c.Service), cmp.Or(e.Description, c.Description)
 	return e
 }
 
-// makeRoom drops the entry that matters least if there are too many: one that is not held back before one that is, and
-// the oldest of them.
-func (l *List) makeRoom() {
+// evictIfFull drops the oldest entry if there are too many, and one that is quarantined only if all are.
+func (l *List) evictIfFull() {
 	if len(l.entries) < maxEntries {
 		return
 	}
-	least := slices.MinFunc(slices.Collect(maps.Values(l.entries)), func(a, b *entry) int {
+	victim := slices.MinFunc(slices.Collect(maps.Values(l.entries)), func(a, b *entry) int {
 		return cmp.Or(compareBool(a.Held(), b.Held()), cmp.Compare(a.since, b.since))
 	})
-	l.drop(least.Fingerprint)
+	l.drop(victim.Fingerprint)
 }
 
 func compareBool(a, b bool) int {
@@ -275,17 +277,17 @@
 	return 1
 }
 
-func (l *List) drop(p Fingerprint) {
-	delete(l.entries, p)
+func (l *List) drop(fp Fingerprint) {
+	delete(l.entries, fp)
 	l.size.Store(int32(len(l.entries)))
 }
 
-// Tried notes that the request is let through once more. It says whether that is so by what is known here: another node
-// may have let it through just now.
-func (l *List) Tried(p Fingerprint, trials int) bool {
+// StartTrial records that the request is sent as its trial of that number. It returns false if, to the knowledge of this
+// node, the request is not quarantined, or another node has already started that trial.
+func (l *List) StartTrial(fp Fingerprint, trials int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || !e.Held() || e.Trials >= trials {
 		return false
 	}
@@ -293,70 +295,70 @@
 	return true
 }
 
-// Clear drops the crash reports of a request: a target has answered it well, which a request that crashes its targets
-// never sees, or an operator says so. It returns what was known, and whether there was anything.
-func (l *List) Clear(p Fingerprint) (was Case, found bool) {
+// Clear drops the crashes of a request, after a successful response, which a request that crashes targets never gets, or on
+// behalf of an operator. It returns what was known, and whether there was anything.
+func (l *List) Clear(fp Fingerprint) (old Suspect, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
-		return Case{}, false
+		return Suspect{}, false
 	}
-	was = e.Case
+	old = e.Suspect
 	e.clear(l.clock.Now())
-	return was, true
+	return old, true
 }
 
 func (e *entry) clear(now clock.Millis) {
 	e.Crashes, e.Trials, e.since, e.clearedAt = nil, 0, now, now
 }
 
-// Known returns what is known of the request.
-func (l *List) Known(p Fingerprint) (c Case, since clock.Millis, found bool) {
+// Get returns what is known of the request, and when this node last learned of a crash or a trial.
+func (l *List) Get(fp Fingerprint) (c Suspect, since clock.Millis, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[p]
+	e := l.entries[fp]
 	if e == nil || len(e.Crashes) == 0 {
-		return Case{}, 0, false
+		return Suspect{}, 0, false
 	}
-	return e.copied(), e.since, true
+	return e.clone(), e.since, true
 }
 
-func (e *entry) copied() Case {
-	c := e.Case
+func (e *entry) clone() Suspect {
+	c := e.Suspect
 	c.Crashes = slices.Clone(c.Crashes)
 	return c
 }
 
-// All returns all requests under which targets crashed, in the order of their fingerprints.
-func (l *List) All() (list []Case) {
+// All returns all requests with crashes, ordered by fingerprint.
+func (l *List) All() (list []Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
 		if len(e.Crashes) > 0 {
-			list = append(list, e.copied())
+			list = append(list, e.clone())
 		}
 	}
-	slices.SortFunc(list, func(a, b Case) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
+	slices.SortFunc(list, func(a, b Suspect) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return list
 }
 
-// Forget drops what has grown old: crashes that were not enough, and that a request was cleared. What is held back stays
-// until a trial or an operator clears it.
-func (l *List) Forget() {
+// Expire drops crashes below the threshold and records of clearing whose retention time has passed. Quarantined requests
+// stay until a trial or an operator clears them.
+func (l *List) Expire() {
 	if l.Empty() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	for p, e := range l.entries {
+	for fp, e := range l.entries {
 		age := now - e.since
 		if e.dirty || e.Held() {
 			continue
 		}
-		if age > forgetAfter || len(e.Crashes) == 0 && age > clearedFor {
-			l.drop(p)
+		if age > crashTTL || len(e.Crashes) == 0 && age > clearedTTL {
+			l.drop(fp)
 		}
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -11,24 +11,24 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// crashThreshold is how many targets crash under a request until it is quarantined.
+// crashThreshold is the number of crashes that quarantines a request.
 const crashThreshold = 3
 
-var pagePrint = quarantine.FingerprintsOf(&page)[quarantine.ScopeRequest]
+var testFingerprint = quarantine.FingerprintsOf(&testRequest)[quarantine.ScopeRequest]
 
-// crash is word of one crash that was just seen.
-func crash(c clock.Clock, target string) quarantine.Case {
-	return quarantine.Case{
-		Fingerprint: pagePrint, Service: "desk", What: "GET example/a/b",
-		Crashes: []quarantine.Crash{{Target: ident.Target(target), From: c.Now(), At: c.Now()}},
+// crashReport returns a report of a crash that happens now.
+func crashReport(c clock.Clock, target string) quarantine.Suspect {
+	return quarantine.Suspect{
+		Fingerprint: testFingerprint, Service: "desk", Description: "GET example/a/b",
+		Crashes: []quarantine.Crash{{Target: ident.Target(target), SentAt: c.Now(), At: c.Now()}},
 	}
 }
 
-// held returns a list that holds the page back.
-func held(c clock.Clock) *quarantine.List {
+// newHeldList returns a list that has quarantined testFingerprint.
+func newHeldList(c clock.Clock) *quarantine.List {
 	l := quarantine.New(c)
 	for i := range crashThreshold {
-		l.Crashed(crash(c, fmt.Sprint("t", i)))
+		l.AddCrashes(crashReport(c, fmt.Sprint("t", i)))
 	}
 	return l
 }
@@ -38,86 +38,85 @@
 	c := clock.NewManual(1000)
 	l := quarantine.New(c)
 	is.True(l.Empty())
-	is.Equal(l.Crashed(crash(c, "a")), quarantine.Suspected)
-	is.Equal(l.Crashed(crash(c, "a")), quarantine.Unchanged) // another request was lost by the same crash
-	is.True(!l.Decide(pagePrint).SingleAttempt())            // one that was in flight by chance may be tried again
-	is.Equal(l.Crashed(crash(c, "b")), quarantine.Suspected)
-	is.True(l.Decide(pagePrint).SingleAttempt())
-	is.True(!l.Decide(pagePrint).Held)
-	is.Equal(l.Crashed(crash(c, "c")), quarantine.Quarantined)
-	v := l.Decide(pagePrint)
-	is.True(v.Held && !v.Due)
+	is.Equal(l.AddCrashes(crashReport(c, "a")), quarantine.Suspected)
+	is.Equal(l.AddCrashes(crashReport(c, "a")), quarantine.Unchanged) // another request failed by the same crash
+	is.True(!l.Decide(testFingerprint).SingleAttempt())               // it may have been in flight by coincidence
+	is.Equal(l.AddCrashes(crashReport(c, "b")), quarantine.Suspected)
+	is.True(l.Decide(testFingerprint).SingleAttempt())
+	is.True(!l.Decide(testFingerprint).Held)
+	is.Equal(l.AddCrashes(crashReport(c, "c")), quarantine.Quarantined)
+	v := l.Decide(testFingerprint)
+	is.True(v.Held && !v.TrialDue)
 	is.True(v.RetryAfter > 0)
-	is.Equal(l.Decide(quarantine.Fingerprint{}), quarantine.Verdict{}) // others are as before
+	is.Equal(l.Decide(quarantine.Fingerprint{}), quarantine.Verdict{}) // other requests are not affected
 }
 
-// TestOneTargetThatCrashesAgainCounts has a service of one target, which starts again under the same id.
+// TestOneTargetThatCrashesAgainCounts has a single target that restarts under the same id after each crash.
 func TestOneTargetThatCrashesAgainCounts(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	l := quarantine.New(c)
 	for range crashThreshold {
-		l.Crashed(crash(c, "a"))
+		l.AddCrashes(crashReport(c, "a"))
 		c.Advance(2 * clock.Second)
 	}
-	is.True(l.Decide(pagePrint).Held)
+	is.True(l.Decide(testFingerprint).Held)
 }
 
-// TestTargetsThatEndTogether has a request that many send at work on five targets that lose power at once: it is tried at
-// once, by one of the fleet, and what was lost with a target may be tried elsewhere. One that crashes its next target too is
-// held back for longer.
-func TestTargetsThatEndTogether(t *testing.T) {
+// TestTargetsThatCrashTogether has five targets that run the same request lose power at once. The first trial is due at
+// once, and attempts lost with a target may be retried. If the trial crashes its target too, the next one is delayed.
+func TestTargetsThatCrashTogether(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(10_000)
 	l := quarantine.New(c)
 	for i := range 5 {
-		one := crash(c, fmt.Sprint("t", i))
-		one.Crashes[0].From -= clock.Millis(10 + i)
-		one.Crashes[0].At += clock.Millis(i % 2)
-		l.Crashed(one)
+		report := crashReport(c, fmt.Sprint("t", i))
+		report.Crashes[0].SentAt -= clock.Millis(10 + i)
+		report.Crashes[0].At += clock.Millis(i % 2)
+		l.AddCrashes(report)
 	}
-	v := l.Decide(pagePrint)
+	v := l.Decide(testFingerprint)
 	is.Equal(v.SequentialCrashes, 1)
-	is.True(v.Held && v.Due && !v.SingleAttempt())
+	is.True(v.Held && v.TrialDue && !v.SingleAttempt())
 	c.Advance(100)
-	is.True(l.Tried(pagePrint, 1))
-	one := crash(c, "later")
-	one.Crashes[0].From -= 90
-	is.Equal(l.Crashed(one), quarantine.CrashedAgain)
-	v = l.Decide(pagePrint)
-	is.True(!v.Due && v.SingleAttempt())
+	is.True(l.StartTrial(testFingerprint, 1))
+	one := crashReport(c, "later")
+	one.Crashes[0].SentAt -= 90
+	is.Equal(l.AddCrashes(one), quarantine.CrashedAgain)
+	v = l.Decide(testFingerprint)
+	is.True(!v.TrialDue && v.SingleAttempt())
 }
 
-func TestAGoodAnswerClears(t *testing.T) {
+func TestSuccessfulResponseClears(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
-	old := crash(c, "t2")
+	l := newHeldList(c)
+	lateReport := crashReport(c, "t2")
 	c.Advance(10)
-	was, found := l.Clear(pagePrint)
+	was, found := l.Clear(testFingerprint)
 	is.True(found)
 	is.Equal(len(was.Crashes), crashThreshold)
-	is.Equal(l.Decide(pagePrint), quarantine.Verdict{})
-	is.Equal(l.Crashed(old), quarantine.Unchanged) // word that is older than the good answer
-	_, found = l.Clear(pagePrint)
+	is.Equal(l.Decide(testFingerprint), quarantine.Verdict{})
+	is.Equal(l.AddCrashes(lateReport), quarantine.Unchanged) // the report is older than the successful response
+	_, found = l.Clear(testFingerprint)
 	is.True(!found)
 	c.Advance(1)
-	is.Equal(l.Crashed(crash(c, "a")), quarantine.Suspected) // it begins anew
+	is.Equal(l.AddCrashes(crashReport(c, "a")), quarantine.Suspected) // counting starts again
 }
 
-// TestTrialsGrowApart counts the trials of an hour and a half in which the request crashes its target each time.
-func TestTrialsGrowApart(t *testing.T) {
+// TestTrialDelaysGrow counts the trials within 90 minutes of a request that crashes its target each time.
+func TestTrialDelaysGrow(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
+	l := newHeldList(c)
 	var at []clock.Millis
 	began := c.Now()
 	for c.Now()-began < 90*clock.Minute {
-		if v := l.Decide(pagePrint); v.Due {
-			is.True(l.Tried(pagePrint, v.Trials+1))
-			is.True(!l.Tried(pagePrint, v.Trials+1)) // a second request at the same time
+		if v := l.Decide(testFingerprint); v.TrialDue {
+			is.True(l.StartTrial(testFingerprint, v.Trials+1))
+			is.True(!l.StartTrial(testFingerprint, v.Trials+1)) // a concurrent request
 			at = append(at, c.Now()-began)
-			is.Equal(l.Crashed(crash(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
+			is.Equal(l.AddCrashes(crashReport(c, fmt.Sprint("more", len(at)))), quarantine.CrashedAgain)
 		}
 		c.Advance(100)
 	}
@@ -127,88 +126,87 @@
 	}
 }
 
-// TestMemoryIsBounded lets far more requests crash a target than are remembered. Those that are held back stay.
+// TestMemoryIsBounded reports crashes of far more requests than a list holds. Quarantined requests stay.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
+	l := newHeldList(c)
 	for i := range 10_000 {
-		one := crash(c, "t")
-		one.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
-		l.Crashed(one)
+		report := crashReport(c, "t")
+		report.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
+		l.AddCrashes(report)
 	}
 	is.True(len(l.All()) <= 4096)
-	is.True(l.Decide(pagePrint).Held)
+	is.True(l.Decide(testFingerprint).Held)
 	c.Advance(11 * clock.Minute)
-	l.Forget()
+	l.Expire()
 	is.Equal(len(l.All()), 1)
 }
 
-// TestRowsBringANodeUpToDate hands the rows that one node writes to another, which knows nothing, and back.
+// TestRowsBringANodeUpToDate passes the rows that one node writes to another with an empty list, and back.
 func TestRowsBringANodeUpToDate(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	here, there := held(c), quarantine.New(c)
-	is.True(here.MarkDirty(pagePrint))
-	is.Equal(here.Dirty(), []quarantine.Fingerprint{pagePrint})
-	row := here.Row(pagePrint, nil)
-	here.Wrote(pagePrint)
+	here, there := newHeldList(c), quarantine.New(c)
+	is.True(here.MarkDirty(testFingerprint))
+	is.Equal(here.Dirty(), []quarantine.Fingerprint{testFingerprint})
+	row := here.Row(testFingerprint, nil)
+	here.MarkStored(testFingerprint)
 	is.Equal(len(here.Dirty()), 0)
-	key := quarantine.RowOf(pagePrint)
-	is.Equal(there.Take(key, row)[pagePrint], quarantine.Quarantined)
-	is.Equal(there.Take(key, row)[pagePrint], quarantine.Unchanged)
-	is.Equal(here.Take(key, row)[pagePrint], quarantine.Unchanged)
+	key := quarantine.RowKey(testFingerprint)
+	is.Equal(there.MergeRow(key, row)[testFingerprint], quarantine.Quarantined)
+	is.Equal(there.MergeRow(key, row)[testFingerprint], quarantine.Unchanged)
+	is.Equal(here.MergeRow(key, row)[testFingerprint], quarantine.Unchanged)
 
-	is.Equal(there.Crashed(crash(c, "t0")), quarantine.Unchanged) // late word of what the row names
+	is.Equal(there.AddCrashes(crashReport(c, "t0")), quarantine.Unchanged) // late report of a crash that is in the row
 	c.Advance(5 * clock.Second)
-	is.Equal(there.Crashed(crash(c, "t0")), quarantine.CrashedAgain) // it started again, and crashed again
+	is.Equal(there.AddCrashes(crashReport(c, "t0")), quarantine.CrashedAgain) // the target restarted and crashed again
 
-	there.Clear(pagePrint)
-	is.True(there.MarkDirty(pagePrint))
-	there.Take(key, row) // older than what is known here
-	is.True(!there.Decide(pagePrint).Held)
-	row = there.Row(pagePrint, row)
+	there.Clear(testFingerprint)
+	is.True(there.MarkDirty(testFingerprint))
+	there.MergeRow(key, row) // the row is older than the clearing
+	is.True(!there.Decide(testFingerprint).Held)
+	row = there.Row(testFingerprint, row)
 	is.Equal(len(row.GetSuspects()), 0)
-	here.Take(key, row)
-	is.True(!here.Decide(pagePrint).Held)
+	here.MergeRow(key, row)
+	is.True(!here.Decide(testFingerprint).Held)
 }
 
-// TestRowsAddUp has two nodes that hear nothing of each other write what each has seen.
-func TestRowsAddUp(t *testing.T) {
+// TestRowsMerge has two nodes that exchange no datagrams write the crashes that each has seen.
+func TestRowsMerge(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	here, there := quarantine.New(c), quarantine.New(c)
-	here.Crashed(crash(c, "a"))
-	here.Crashed(crash(c, "b"))
-	there.Crashed(crash(c, "c"))
-	key := quarantine.RowOf(pagePrint)
-	is.Equal(there.Take(key, here.Row(pagePrint, nil))[pagePrint], quarantine.Quarantined)
-	is.True(there.MarkDirty(pagePrint))
-	is.Equal(here.Take(key, there.Row(pagePrint, nil))[pagePrint], quarantine.Quarantined)
+	here.AddCrashes(crashReport(c, "a"))
+	here.AddCrashes(crashReport(c, "b"))
+	there.AddCrashes(crashReport(c, "c"))
+	key := quarantine.RowKey(testFingerprint)
+	is.Equal(there.MergeRow(key, here.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
+	is.True(there.MarkDirty(testFingerprint))
+	is.Equal(here.MergeRow(key, there.Row(testFingerprint, nil))[testFingerprint], quarantine.Quarantined)
 }
 
-// TestAFullRowClearsNothing pushes requests out of a row: those that are missing from it were not cleared.
+// TestAFullRowClearsNothing fills a row until it drops a request. A request missing from a full row was not cleared.
 func TestAFullRowClearsNothing(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	l := held(c)
-	row := l.Row(pagePrint, nil)
-	l.Wrote(pagePrint)
+	l := newHeldList(c)
+	row := l.Row(testFingerprint, nil)
+	l.MarkStored(testFingerprint)
 	for i := range 8 {
-		other := crash(c, "t")
-		other.Fingerprint = pagePrint
+		other := crashReport(c, "t")
+		other.Fingerprint = testFingerprint
 		other.Fingerprint[15] = byte(i)
 		other.Fingerprint[14]++
-		l.Crashed(other)
+		l.AddCrashes(other)
 		row = l.Row(other.Fingerprint, row)
 	}
 	is.Equal(len(row.GetSuspects()), 8)
-	l.Take(quarantine.RowOf(pagePrint), row)
-	is.True(l.Decide(pagePrint).Held)
+	l.MergeRow(quarantine.RowKey(testFingerprint), row)
+	is.True(l.Decide(testFingerprint).Held)
 }
 
-// TestWireRefusesWhatNamesNoRequest hands in fingerprints of other sizes.
-func TestWireRefusesWhatNamesNoRequest(t *testing.T) {
+func TestFromWireRejectsWrongFingerprintSizes(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{0, 1, 15, 17} {
 		_, ok := quarantine.FromWire(&tlv1.Suspect{Print: make([]byte, n)}, 0)
@@ -216,22 +214,22 @@
 	}
 }
 
-// BenchmarkDecide is what a request costs besides its fingerprint, while 1,000 requests are under suspicion.
+// BenchmarkDecide measures the cost per request besides its fingerprints, with 1,000 suspect requests in the list.
 func BenchmarkDecide(b *testing.B) {
 	c := clock.NewManual(1000)
-	l := held(c)
+	l := newHeldList(c)
 	for i := range 1000 {
-		one := crash(c, "t")
-		one.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
-		l.Crashed(one)
+		report := crashReport(c, "t")
+		report.Fingerprint = quarantine.Fingerprint{byte(i), byte(i >> 8), 1}
+		l.AddCrashes(report)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Decide(pagePrint)
+		l.Decide(testFingerprint)
 	}
 }
 
-// BenchmarkNothingSuspected is what a request costs while none is under suspicion.
+// BenchmarkNothingSuspected measures the cost per request with an empty list.
 func BenchmarkNothingSuspected(b *testing.B) {
 	l := quarantine.New(clock.NewManual(1000))
 	for b.Loop() {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,131 +15,131 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A Span is a time in a settings file, as text: 1500ms, 2.5s.
-type Span clock.Millis
+// A Duration is a duration in a settings file, written as 1500ms or 2.5s.
+type Duration clock.Millis
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return err
 	}
-	*s = Span(clock.FromDuration(d))
+	*s = Duration(clock.FromDuration(d))
 	return nil
 }
 
-// Millis returns the time.
-func (s Span) Millis() clock.Millis {
+// Millis returns the duration in milliseconds.
+func (s Duration) Millis() clock.Millis {
 	return clock.Millis(s)
 }
 
-// Node says who the node is and where it listens. Addresses are IP numbers with ports; doors
-// without an address stay closed, but for Callers and Peers.
+// Node identifies the node and holds its listen addresses. Addresses are IP addresses with ports. Listeners
+// without an address are not opened; those for Callers and Peers are required.
 type Node struct {
 	Name   string `toml:"name"`
 	Hall   string `toml:"hall"`
 	Region string `toml:"region"`
-	// Callers is where requests come.
+	// Callers is the address for requests.
 	Callers string `toml:"callers"`
-	// Directory is where callers ask which nodes to use, on the users' platform.
+	// Directory is the address where callers look up which nodes to use, on the users' platform.
 	Directory string `toml:"directory"`
-	// Readiness is where the platform asks whether callers may be sent here.
+	// Readiness is the address where the platform checks whether it may send callers to this node.
 	Readiness string `toml:"readiness"`
-	// Peers is where other nodes reach this one, by datagrams and connections.
+	// Peers is the address for other nodes, by UDP and TCP.
 	Peers string `toml:"peers"`
-	// AdvertisePeers is where others reach it, if elsewhere.
+	// AdvertisePeers is the address that other nodes use to reach Peers, if it differs.
 	AdvertisePeers string `toml:"advertise_peers"`
-	// Operators is where operators call.
+	// Operators is the address for operators.
 	Operators string `toml:"operators"`
-	// Metrics is where metrics are served; operators find them at their own door too.
+	// Metrics is the address for metrics. The operators' address serves them too.
 	Metrics string `toml:"metrics"`
 }
 
-// Store says where the platform's store is. Embedded runs a stand-in in the node, for a trial.
+// Store locates the platform's store. Embedded runs an emulation of it in the node's process, for trying out.
 type Store struct {
 	Address  string `toml:"address"`
 	Embedded bool   `toml:"embedded"`
 }
 
-// Fleet says how nodes find and trust each other.
+// Fleet configures how nodes discover and authenticate each other.
 type Fleet struct {
-	// Seeds are addresses of some nodes for peers. They may be stale.
+	// Seeds are peer addresses of some nodes. They may be stale.
 	Seeds []string `toml:"seeds"`
-	// Keys are secrets that peers share, as hex. The first one signs; all are taken. Without keys,
-	// whoever reaches the peers' door is taken for a peer.
+	// Keys are secrets that peers share, as hex. The first one signs; all are accepted. Without keys,
+	// whoever reaches the peers' address is accepted as a peer.
 	Keys []string `toml:"keys"`
 }
 
-// Bounds are what the platform holds the fleet to.
+// Bounds holds the time limits that the platform sets for the fleet.
 type Bounds struct {
 	// Apply is how soon a newer desired state must be in force.
-	Apply Span `toml:"apply"`
-	// Grace is how long the platform waits between SIGTERM and SIGKILL.
-	Grace Span `toml:"grace"`
-	// Leave is how soon a target that is leaving must get no new work.
-	Leave Span `toml:"leave"`
-	// Valid is the longest that callers keep an answer of the directory.
-	Valid Span `toml:"valid"`
-	// Revoke is how soon after a key was taken away no request with it may run, also on nodes that cannot know; 0
-	// if keys are taken by what a node knows, however old that is.
-	Revoke Span `toml:"revoke"`
+	Apply Duration `toml:"apply"`
+	// Grace is the time between SIGTERM and SIGKILL.
+	Grace Duration `toml:"grace"`
+	// Leave is how soon a target that is leaving must stop receiving requests.
+	Leave Duration `toml:"leave"`
+	// Valid is how long callers cache an answer of the directory at most.
+	Valid Duration `toml:"valid"`
+	// Revoke is how soon after the revocation of a key no request with it may run, also on nodes that cannot learn of the
+	// revocation. 0 means that nodes accept keys by the newest state they have, however old.
+	Revoke Duration `toml:"revoke"`
 }
 
-// Retries bounds further attempts, over the whole fleet.
+// Retries limits additional attempts at requests over the whole fleet.
 type Retries struct {
-	// Ratio is how many further attempts each request of a service allows within the window, and
-	// Slack how many more there may be.
-	Ratio  float64 `toml:"ratio"`
-	Slack  float64 `toml:"slack"`
-	Window Span    `toml:"window"`
+	// Ratio is the number of additional attempts per request of a service within the window, and Slack a constant
+	// number on top.
+	Ratio  float64  `toml:"ratio"`
+	Slack  float64  `toml:"slack"`
+	Window Duration `toml:"window"`
 }
 
-// Workspaces bounds what they may ask for, over the whole fleet: in any window of this length no more than their
-// rate and burst allow, times one more than the overshoot, and the slack.
+// Workspaces limits the requests of each Workspace over the whole fleet: in any window at most
+// (what its rate and burst allow) * (1 + Overshoot) + Slack.
 type Workspaces struct {
-	Window    Span    `toml:"window"`
-	Overshoot float64 `toml:"overshoot"`
-	Slack     float64 `toml:"slack"`
+	Window    Duration `toml:"window"`
+	Overshoot float64  `toml:"overshoot"`
+	Slack     float64  `toml:"slack"`
 }
 
-// Cold bounds what a target gets that has started a short time ago, from all nodes together: in any second no more than
-// what it withstands, by the desired state, times Overshoot, and Slack.
+// Cold limits the requests to a target that is warming up, from all nodes together: in any second at most
+// (its limit in the desired state) * Overshoot + Slack.
 type Cold struct {
 	Overshoot float64 `toml:"overshoot"`
 	Slack     float64 `toml:"slack"`
 }
 
-// Operators says who may do everything.
+// Operators identifies the administrator, who has all permissions.
 type Operators struct {
 	AdminTokenSHA256 string `toml:"admin_token_sha256"`
 }
 
-// Limits bounds what callers can make the node hold.
+// Limits bounds the memory that callers can make the node use.
 type Limits struct {
 	Requests    int   `toml:"requests"`
 	BodyBytes   int64 `toml:"body_bytes"`
 	HeaderBytes int   `toml:"header_bytes"`
 }
 
-// Capacity says what the node's VM has.
+// Capacity describes the resources of the node's VM.
 type Capacity struct {
-	// Cores is its share of processor cores, and LinkMbps the bandwidth of its link.
+	// Cores is the number of processor cores, which may be a fraction, and LinkMbps the bandwidth of the network link.
 	Cores    float64 `toml:"cores"`
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
-// Log says how much is logged.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Trial is for measuring what a mechanism is worth. In operation it is left out.
+// Trial disables mechanisms to measure their effect. It is not for production use.
 type Trial struct {
-	// Off names mechanisms that are switched off.
+	// Off lists the mechanisms to disable.
 	Off []string `toml:"off"`
 }
 
-// Settings is the whole file.
+// Settings holds the contents of a settings file.
 type Settings struct {
 	Node       Node       `toml:"node"`
 	Store      Store      `toml:"store"`
@@ -148,7 +148,7 @@
 	Retries    Retries    `toml:"retries"`
 	Workspaces Workspaces `toml:"workspaces"`
 	Cold       Cold       `toml:"cold"`
-	// Halls says which region each hall is in. Those that are missing are in a region of their own.
+	// Halls maps Halls to regions. A Hall that is not listed is a region of its own.
 	Halls     map[string]string `toml:"halls"`
 	Operators Operators         `toml:"operators"`
 	Limits    Limits            `toml:"limits"`
@@ -157,38 +157,38 @@
 	Trial     Trial             `toml:"trial"`
 }
 
-// Defaults for what the file leaves out. The bounds are those of the users' platform.
+// Defaults for keys that the file omits. The bounds are those of the users' platform.
 const (
-	defaultRequests    = 4096
-	defaultBodyBytes   = 64 << 20
-	defaultHeaderBytes = 256 << 10
-	defaultApply       = 2 * clock.Second
-	defaultGrace       = 6 * clock.Second
-	defaultLeave       = 2 * clock.Second
-	defaultValid       = 5 * clock.Second
-	defaultRatio       = 0.2
-	defaultSlack       = 60
-	defaultWindow      = 10 * clock.Second
-	defaultOvershoot   = 0.1
-	defaultQuotaSlack  = 20
-	// defaultColdOvershoot holds cold targets to what they withstand.
-	defaultColdOvershoot = 1
-	defaultQuotaWindow   = 5 * clock.Second
-	leastRevoke          = 1 * clock.Second
-	defaultCores         = 1
-	defaultLinkMbps      = 1000
-	minKeyBytes          = 16
-	hashBytes            = 32
+	defaultRequests           = 4096
+	defaultBodyBytes          = 64 << 20
+	defaultHeaderBytes        = 256 << 10
+	defaultApply              = 2 * clock.Second
+	defaultGrace              = 6 * clock.Second
+	defaultLeave              = 2 * clock.Second
+	defaultValid              = 5 * clock.Second
+	defaultRetryRatio         = 0.2
+	defaultRetrySlack         = 60
+	defaultRetryWindow        = 10 * clock.Second
+	defaultWorkspaceOvershoot = 0.1
+	defaultWorkspaceSlack     = 20
+	// defaultColdOvershoot limits targets that are warming up to exactly the rate in the desired state.
+	defaultColdOvershoot   = 1
+	defaultWorkspaceWindow = 5 * clock.Second
+	minRevoke              = 1 * clock.Second
+	defaultCores           = 1
+	defaultLinkMbps        = 1000
+	minKeyBytes            = 16
+	hashBytes              = 32
 )
 
 // Defaults returns the settings of an empty file.
 func Defaults() *Settings {
 	return &Settings{
 		Bounds: Bounds{
-			Apply: Span(defaultApply), Grace: Span(defaultGrace), Leave: Span(defaultLeave), Valid: Span(defaultValid),
+			Apply: Duration(defaultApply), Grace: Duration(defaultGrace), Leave: Duration(defaultLeave), Valid: Duration(defaultValid),
 		},
-		Retries:    Retries{Ratio: defaultRatio, Slack: defaultSlack, Window: Span(defaultWindow)},
-		Workspaces: Workspaces{Window: Span(defaultQuotaWindow), Overshoot: defaultOvershoot, Slack: defaultQuotaSlack},
+		Retries:    Retries{Ratio: defaultRetryRatio, Slack: defaultRetrySlack, Window: Duration(defaultRetryWindow)},
+		Workspaces: Workspaces{Window: Duration(defaultWorkspaceWindow), Overshoot: defaultWorkspaceOvershoot, Slack: defaultWorkspaceSlack},
 		Cold:       Cold{Overshoot: defaultColdOvershoot},
 		Limits:     Limits{Requests: defaultRequests, BodyBytes: defaultBodyBytes, HeaderBytes: defaultHeaderBytes},
 		Capacity:   Capacity{Cores: defaultCores, LinkMbps: defaultLinkMbps},
@@ -196,7 +196,7 @@
 	}
 }
 
-// Load reads the file and returns its settings, or an error that names every key that is wrong.
+// Load reads the file and returns its settings, or an error that names every invalid key.
 func Load(path string) (s *Settings, err error) {
 	defer func() { err = errors.Wrapf(err, "settings %s", path) }()
 	text, err := os.ReadFile(path)
@@ -213,117 +213,117 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &check{}
+	v := &validator{}
 	for _, k := range meta.Undecoded() {
-		c.add(k.String(), "no such key")
+		v.add(k.String(), "no such key")
 	}
-	s.check(c)
-	return s, c.err()
+	s.validate(v)
+	return s, v.err()
 }
 
-// A check gathers what is wrong.
-type check struct{ wrong []string }
+// A validator collects the problems with the settings.
+type validator struct{ problems []string }
 
-func (c *check) add(key, format string, args ...any) {
-	c.wrong = append(c.wrong, key+": "+fmt.Sprintf(format, args...))
+func (v *validator) add(key, format string, args ...any) {
+	v.problems = append(v.problems, key+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *check) err() error {
-	if len(c.wrong) == 0 {
+func (v *validator) err() error {
+	if len(v.problems) == 0 {
 		return nil
 	}
-	return errors.Newf("%s", strings.Join(c.wrong, "; "))
+	return errors.Newf("%s", strings.Join(v.problems, "; "))
 }
 
-func (c *check) name(key, s string) {
+func (v *validator) name(key, s string) {
 	if err := ident.CheckName(s); err != nil {
-		c.add(key, "%v", err)
+		v.add(key, "%v", err)
 	}
 }
 
-func (c *check) address(key, s string) {
+func (v *validator) address(key, s string) {
 	if a, err := netip.ParseAddrPort(s); err != nil || a.Port() == 0 {
-		c.add(key, "%q is not an IP number and port", s)
+		v.add(key, "%q is not an IP number and port", s)
 	}
 }
 
-func (c *check) optional(key, s string) {
+func (v *validator) optionalAddress(key, s string) {
 	if s != "" {
-		c.address(key, s)
+		v.address(key, s)
 	}
 }
 
-func (c *check) positive(key string, n int64) {
+func (v *validator) positive(key string, n int64) {
 	if n <= 0 {
-		c.add(key, "%d is not positive", n)
+		v.add(key, "%d is not positive", n)
 	}
 }
 
-func (s *Settings) check(c *check) {
-	c.name("node.name", s.Node.Name)
-	c.name("node.hall", s.Node.Hall)
-	c.address("node.callers", s.Node.Callers)
-	c.address("node.peers", s.Node.Peers)
-	c.optional("node.advertise_peers", s.Node.AdvertisePeers)
-	c.optional("node.directory", s.Node.Directory)
-	c.optional("node.readiness", s.Node.Readiness)
-	c.optional("node.operators", s.Node.Operators)
-	c.optional("node.metrics", s.Node.Metrics)
+func (s *Settings) validate(v *validator) {
+	v.name("node.name", s.Node.Name)
+	v.name("node.hall", s.Node.Hall)
+	v.address("node.callers", s.Node.Callers)
+	v.address("node.peers", s.Node.Peers)
+	v.optionalAddress("node.advertise_peers", s.Node.AdvertisePeers)
+	v.optionalAddress("node.directory", s.Node.Directory)
+	v.optionalAddress("node.readiness", s.Node.Readiness)
+	v.optionalAddress("node.operators", s.Node.Operators)
+	v.optionalAddress("node.metrics", s.Node.Metrics)
 	for i, a := range s.Fleet.Seeds {
-		c.address(fmt.Sprintf("fleet.seeds[%d]", i), a)
+		v.address(fmt.Sprintf("fleet.seeds[%d]", i), a)
 	}
 	switch {
 	case s.Store.Embedded && s.Store.Address != "":
-		c.add("store.address", "set it, or store.embedded, and not both")
+		v.add("store.address", "set it, or store.embedded, and not both")
 	case !s.Store.Embedded:
-		c.address("store.address", s.Store.Address)
+		v.address("store.address", s.Store.Address)
 	}
-	s.checkBounds(c)
-	s.checkSecrets(c)
+	s.validateBounds(v)
+	s.validateSecrets(v)
 }
 
-func (s *Settings) checkBounds(c *check) {
-	c.positive("bounds.apply", int64(s.Bounds.Apply))
-	c.positive("bounds.grace", int64(s.Bounds.Grace))
-	c.positive("bounds.leave", int64(s.Bounds.Leave))
-	c.positive("bounds.valid", int64(s.Bounds.Valid))
-	c.positive("retries.window", int64(s.Retries.Window))
-	c.positive("workspaces.window", int64(s.Workspaces.Window))
-	if r := s.Bounds.Revoke.Millis(); r != 0 && r < leastRevoke {
-		c.add("bounds.revoke", "%d ms is less than word of the store takes; at least %d", r, leastRevoke)
+func (s *Settings) validateBounds(v *validator) {
+	v.positive("bounds.apply", int64(s.Bounds.Apply))
+	v.positive("bounds.grace", int64(s.Bounds.Grace))
+	v.positive("bounds.leave", int64(s.Bounds.Leave))
+	v.positive("bounds.valid", int64(s.Bounds.Valid))
+	v.positive("retries.window", int64(s.Retries.Window))
+	v.positive("workspaces.window", int64(s.Workspaces.Window))
+	if r := s.Bounds.Revoke.Millis(); r != 0 && r < minRevoke {
+		v.add("bounds.revoke", "%d ms is less than changes in the store take to reach nodes; at least %d", r, minRevoke)
 	}
 	if !(s.Workspaces.Overshoot >= 0) || !(s.Workspaces.Slack >= 0) {
-		c.add("workspaces", "overshoot %v and slack %v may not be negative", s.Workspaces.Overshoot, s.Workspaces.Slack)
+		v.add("workspaces", "overshoot %v and slack %v may not be negative", s.Workspaces.Overshoot, s.Workspaces.Slack)
 	}
 	if !(s.Cold.Overshoot >= 0) || !(s.Cold.Slack >= 0) {
-		c.add("cold", "overshoot %v and slack %v may not be negative", s.Cold.Overshoot, s.Cold.Slack)
+		v.add("cold", "overshoot %v and slack %v may not be negative", s.Cold.Overshoot, s.Cold.Slack)
 	}
-	c.positive("limits.requests", int64(s.Limits.Requests))
-	c.positive("limits.body_bytes", s.Limits.BodyBytes)
-	c.positive("limits.header_bytes", int64(s.Limits.HeaderBytes))
+	v.positive("limits.requests", int64(s.Limits.Requests))
+	v.positive("limits.body_bytes", s.Limits.BodyBytes)
+	v.positive("limits.header_bytes", int64(s.Limits.HeaderBytes))
 	if !(s.Capacity.Cores > 0) || !(s.Capacity.LinkMbps > 0) {
-		c.add("capacity", "cores %v and link_mbps %v must be positive", s.Capacity.Cores, s.Capacity.LinkMbps)
+		v.add("capacity", "cores %v and link_mbps %v must be positive", s.Capacity.Cores, s.Capacity.LinkMbps)
 	}
 	if !(s.Retries.Ratio >= 0) || !(s.Retries.Slack >= 0) {
-		c.add("retries", "ratio %v and slack %v may not be negative", s.Retries.Ratio, s.Retries.Slack)
+		v.add("retries", "ratio %v and slack %v may not be negative", s.Retries.Ratio, s.Retries.Slack)
 	}
 }
 
-func (s *Settings) checkSecrets(c *check) {
+func (s *Settings) validateSecrets(v *validator) {
 	for i, k := range s.Fleet.Keys {
 		if b, err := hex.DecodeString(k); err != nil || len(b) < minKeyBytes {
-			c.add(fmt.Sprintf("fleet.keys[%d]", i), "want at least %d bytes as hex", minKeyBytes)
+			v.add(fmt.Sprintf("fleet.keys[%d]", i), "want at least %d bytes as hex", minKeyBytes)
 		}
 	}
 	if s.Node.Operators == "" && s.Operators.AdminTokenSHA256 == "" {
 		return
 	}
 	if b, err := hex.DecodeString(s.Operators.AdminTokenSHA256); err != nil || len(b) != hashBytes {
-		c.add("operators.admin_token_sha256", "want a SHA-256 as hex")
+		v.add("operators.admin_token_sha256", "want a SHA-256 as hex")
 	}
 }
 
-// KeyBytes returns the fleet's keys.
+// KeyBytes returns the decoded keys.
 func (f Fleet) KeyBytes() [][]byte {
 	keys := make([][]byte, len(f.Keys))
 	for i, k := range f.Keys {
@@ -332,7 +332,7 @@
 	return keys
 }
 
-// RegionOf returns the region that the hall is in.
+// RegionOf returns the region of the Hall.
 func (s *Settings) RegionOf(h ident.Hall) ident.Region {
 	if r, found := s.Halls[string(h)]; found {
 		return ident.Region(r)
@@ -343,7 +343,7 @@
 	return ident.Region(h)
 }
 
-// PeersAddress returns where others reach the node.
+// PeersAddress returns the address that other nodes use to reach the node.
 func (n Node) PeersAddress() string {
 	if n.AdvertisePeers != "" {
 		return n.AdvertisePeers
