--- a/forward/conn.go
+++ b/forward/conn.go
@@ -22,20 +22,20 @@
 const (
 	// maxHeaderBytes bounds an answer's header.
 	maxHeaderBytes = 64 << 10
-	// readBuffer holds a usual answer's header and the start of its body.
-	readBuffer = 4 << 10
-	// maxIdle is how many idle connections are kept to one address.
-	maxIdle = 16
+	// readBufferSize holds a usual answer's header and the start of its body.
+	readBufferSize = 4 << 10
+	// maxIdlePerAddress is how many idle connections are kept to one address.
+	maxIdlePerAddress = 16
 	// idleMargin is how much sooner than the target tells its idle connections are given up, for
 	// the way there and late timers.
 	idleMargin clock.Millis = 1000
 	// keepAliveIdle, keepAliveEvery and keepAliveCount find a connection that went silent while it rested
 	// in 4 s, before a run-once request may be lost on it.
-	keepAliveIdle  = 2 * time.Second
-	keepAliveEvery = 1 * time.Second
-	keepAliveCount = 2
-	// idleUntold is how long a connection is kept whose target tells no time.
-	idleUntold clock.Millis = 4000
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = 1 * time.Second
+	keepAliveCount    = 2
+	// defaultIdleTimeout is how long a connection is kept whose target tells no time.
+	defaultIdleTimeout clock.Millis = 4000
 )
 
 // ErrSent marks failures after which the target may have run the request. Without it, no byte of
@@ -50,25 +50,25 @@
 
 // A Conn struct is one connection to a target.
 type Conn struct {
-	net     net.Conn
-	limit   *io.LimitedReader
-	reader  *bufio.Reader
-	address string
-	idleAt  clock.Millis
-	// keep is how long the target keeps the connection when it is idle.
-	keep clock.Millis
-	// spoiled connections carry no further request.
-	spoiled bool
+	net       net.Conn
+	limit     *io.LimitedReader
+	reader    *bufio.Reader
+	address   string
+	idleSince clock.Millis
+	// idleTimeout is how long the target keeps the connection when it is idle.
+	idleTimeout clock.Millis
+	// noReuse connections carry no further request.
+	noReuse bool
 }
 
 func newConn(nc net.Conn, address string) *Conn {
 	limit := &io.LimitedReader{R: nc, N: math.MaxInt64}
-	return &Conn{net: nc, limit: limit, reader: bufio.NewReaderSize(limit, readBuffer), address: address, keep: idleUntold}
+	return &Conn{net: nc, limit: limit, reader: bufio.NewReaderSize(limit, readBufferSize), address: address, idleTimeout: defaultIdleTimeout}
 }
 
-// quiet says that nothing has come on the idle connection: neither its end, nor bytes that nobody
+// isQuiet says that nothing has come on the idle connection: neither its end, nor bytes that nobody
 // asked for.
-func (c *Conn) quiet() bool {
+func (c *Conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -80,13 +80,13 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
 
 // Close closes the connection.
@@ -94,15 +94,15 @@
 	_ = c.net.Close()
 }
 
-// learn takes in what the answer's header says of the connection.
-func (c *Conn) learn(h http.Header) {
+// readKeepAlive takes in what the answer's header says of the connection.
+func (c *Conn) readKeepAlive(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.ParseInt(strings.TrimSpace(value), 10, 32); err == nil {
-			c.keep = max(clock.Millis(n)*clock.Second-idleMargin, 0)
+			c.idleTimeout = max(clock.Millis(n)*clock.Second-idleMargin, 0)
 		}
 	}
 }
@@ -121,18 +121,18 @@
 func NewConns(c clock.Clock, timeout clock.Millis) *Conns {
 	return &Conns{clock: c, idle: map[string][]*Conn{}, dialer: net.Dialer{
 		Timeout:         timeout.Duration(),
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}}
 }
 
 // get returns an idle connection that rested no longer than the age, or a new one.
-func (p *Conns) get(ctx context.Context, address string, age clock.Millis) (c *Conn, reused bool, err error) {
+func (p *Conns) get(ctx context.Context, address string, maxIdle clock.Millis) (c *Conn, reused bool, err error) {
 	for {
-		c := p.takeIdle(address, age)
+		c := p.takeIdle(address, maxIdle)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.isQuiet() {
 			return c, true, nil
 		}
 		c.Close()
@@ -148,7 +148,7 @@
 }
 
 // takeIdle takes the connection that rested the shortest.
-func (p *Conns) takeIdle(address string, age clock.Millis) *Conn {
+func (p *Conns) takeIdle(address string, maxIdle clock.Millis) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -156,7 +156,7 @@
 		return nil
 	}
 	c := list[len(list)-1]
-	if p.clock.Now()-c.idleAt > min(age, c.keep) {
+	if p.clock.Now()-c.idleSince > min(maxIdle, c.idleTimeout) {
 		return nil
 	}
 	p.idle[address] = list[:len(list)-1]
@@ -165,11 +165,11 @@
 
 // put keeps a connection for the next request.
 func (p *Conns) put(c *Conn) {
-	c.idleAt = p.clock.Now()
+	c.idleSince = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
-	if len(list) >= maxIdle || c.keep <= 0 {
+	if len(list) >= maxIdlePerAddress || c.idleTimeout <= 0 {
 		c.Close()
 		return
 	}
@@ -202,7 +202,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now-c.idleAt > c.keep {
+			if now-c.idleSince > c.idleTimeout {
 				c.Close()
 				continue
 			}
--- a/forward/look.go
+++ b/forward/look.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// lookTimeout bounds a look: one way between halls and back, with room, and little for a caller who waits.
-	lookTimeout = 50 * time.Millisecond
-	// looks and lookPause are how often a look is repeated where something still listens: a process that ends may
+	// probeTimeout bounds a look: one way between halls and back, with room, and little for a caller who waits.
+	probeTimeout = 50 * time.Millisecond
+	// probeAttempts and lookPause are how often a look is repeated where something still listens: a process that ends may
 	// lose its connections a little before its door.
-	looks     = 2
-	lookPause = 15 * time.Millisecond
+	probeAttempts = 2
+	probeInterval = 15 * time.Millisecond
 )
 
 // A Door is what a look at an address found.
@@ -38,19 +38,19 @@
 // Look says whether anything listens at the address, by a connection of its own. What breaks a single connection, such as
 // a cut link or a target that closes those at rest, leaves the door open or unseen; the end of the process shuts it.
 func (p *Conns) Look(ctx context.Context, address string) (d Door) {
-	for i := range looks {
+	for i := range probeAttempts {
 		if i > 0 {
-			time.Sleep(lookPause)
+			time.Sleep(probeInterval)
 		}
-		if d = p.look(ctx, address); d != Open {
+		if d = p.probeOnce(ctx, address); d != Open {
 			return d
 		}
 	}
 	return d
 }
 
-func (p *Conns) look(ctx context.Context, address string) Door {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+func (p *Conns) probeOnce(ctx context.Context, address string) Door {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c, err := p.dialer.DialContext(ctx, "tcp", address)
 	switch {
--- a/forward/send.go
+++ b/forward/send.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// wholeBytes is the largest body of an answer that is read before any of it is passed on.
-	wholeBytes = 256 << 10
-	// strayAnswers is how many answers to other requests are passed over before a connection is
+	// maxBufferedBody is the largest body of an answer that is read before any of it is passed on.
+	maxBufferedBody = 256 << 10
+	// maxResponses is how many answers to other requests are passed over before a connection is
 	// given up.
-	strayAnswers = 3
-	// strayBytes bounds the body of an answer that is passed over.
-	strayBytes = 1 << 20
+	maxResponses = 3
+	// maxDiscardedBody bounds the body of an answer that is passed over.
+	maxDiscardedBody = 1 << 20
 )
 
 // ErrAnswer marks answers that make no sense, or belong to other requests only.
@@ -88,28 +88,28 @@
 	stop   func() bool
 	reused bool
 	stream *source
-	// wrote is told how writing the request ended; nil once it is known to have ended well.
-	wrote chan error
+	// writeDone is told how writing the request ended; nil once it is known to have ended well.
+	writeDone chan error
 }
 
 func (x *transfer) run(r *Request) (*Answer, error) {
-	req := x.outgoing(r)
+	req := x.newRequest(r)
 	x.write(req, r)
-	res, err := x.read(req, r)
+	res, err := x.readResponse(req, r)
 	if err != nil {
-		if broken := x.stream.broken(); broken != nil {
-			return nil, errors.Mark(broken, ErrBody)
+		if readErr := x.stream.readErr(); readErr != nil {
+			return nil, errors.Mark(readErr, ErrBody)
 		}
 		return nil, err
 	}
-	x.conn.learn(res.Header)
-	return x.answer(res)
+	x.conn.readKeepAlive(res.Header)
+	return x.buffer(res)
 }
 
-func (x *transfer) outgoing(r *Request) *http.Request {
+func (x *transfer) newRequest(r *Request) *http.Request {
 	req := &http.Request{
 		Method: r.Method,
-		URL:    urlOf(r.Target),
+		URL:    requestURL(r.Target),
 		Host:   r.Host,
 		Header: r.Header,
 		Proto:  "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -123,8 +123,8 @@
 	return req
 }
 
-// urlOf returns a URL that is written as the target is.
-func urlOf(target string) *url.URL {
+// requestURL returns a URL that is written as the target is.
+func requestURL(target string) *url.URL {
 	u, err := url.ParseRequestURI(target)
 	if err != nil || u.RequestURI() != target {
 		return &url.URL{Opaque: target}
@@ -135,18 +135,18 @@
 // write sends the request. One with a body is written beside reading, since a target may answer
 // before it has read the body.
 func (x *transfer) write(req *http.Request, r *Request) {
-	x.wrote = make(chan error, 1)
-	if r.Stream == nil && len(r.Body) <= readBuffer/2 {
-		x.wrote <- writeBuffered(x.conn, req)
+	x.writeDone = make(chan error, 1)
+	if r.Stream == nil && len(r.Body) <= readBufferSize/2 {
+		x.writeDone <- writeBuffered(x.conn, req)
 		return
 	}
 	go func() {
 		err := writeBuffered(x.conn, req)
-		if x.stream.broken() != nil {
+		if x.stream.readErr() != nil {
 			// The target waits for the rest, and would until the deadline.
 			_ = x.conn.net.SetDeadline(past)
 		}
-		x.wrote <- err
+		x.writeDone <- err
 	}()
 }
 
@@ -161,10 +161,10 @@
 	return w.Flush()
 }
 
-// read returns the answer that names the request.
-func (x *transfer) read(req *http.Request, r *Request) (*http.Response, error) {
-	for range strayAnswers {
-		res, err := x.readOne(req)
+// readResponse returns the answer that names the request.
+func (x *transfer) readResponse(req *http.Request, r *Request) (*http.Response, error) {
+	for range maxResponses {
+		res, err := x.readFinal(req)
 		if err != nil {
 			return nil, err
 		}
@@ -172,8 +172,8 @@
 		if id == r.ID || id == "" && r.IDOptional {
 			return res, nil
 		}
-		x.conn.spoiled = true
-		if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, strayBytes)); err != nil {
+		x.conn.noReuse = true
+		if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBody)); err != nil {
 			return nil, errors.Mark(errors.Wrap(err, "pass over a stray answer"), ErrAnswer)
 		}
 		_ = res.Body.Close()
@@ -184,7 +184,7 @@
 	return nil, errors.Wrap(ErrAnswer, "only answers to other requests came")
 }
 
-func (x *transfer) readOne(req *http.Request) (*http.Response, error) {
+func (x *transfer) readFinal(req *http.Request) (*http.Response, error) {
 	for {
 		x.conn.limit.N = maxHeaderBytes
 		res, err := http.ReadResponse(x.conn.reader, req)
@@ -198,12 +198,12 @@
 	}
 }
 
-// answer reads the body, or its start if it is large.
-func (x *transfer) answer(res *http.Response) (*Answer, error) {
+// buffer reads the body, or its start if it is large.
+func (x *transfer) buffer(res *http.Response) (*Answer, error) {
 	a := &Answer{Status: res.StatusCode, Header: res.Header, Closing: res.Close, Length: -1, Trailer: res.Trailer}
-	limit := io.LimitReader(res.Body, wholeBytes)
+	limit := io.LimitReader(res.Body, maxBufferedBody)
 	var body bytes.Buffer
-	if res.ContentLength > 0 && res.ContentLength <= wholeBytes {
+	if res.ContentLength > 0 && res.ContentLength <= maxBufferedBody {
 		body.Grow(int(res.ContentLength) + bytes.MinRead)
 	}
 	n, err := body.ReadFrom(limit)
@@ -212,8 +212,8 @@
 	}
 	a.Body = body.Bytes()
 	rest := &rest{transfer: x, res: res}
-	if n < wholeBytes {
-		rest.ended = true
+	if n < maxBufferedBody {
+		rest.eof = true
 		_ = rest.Close()
 		return a, nil
 	}
@@ -225,21 +225,21 @@
 type rest struct {
 	transfer *transfer
 	res      *http.Response
-	ended    bool
+	eof      bool
 }
 
 // Read implements io.Reader.
 func (r *rest) Read(p []byte) (int, error) {
 	n, err := r.res.Body.Read(p)
-	r.ended = r.ended || errors.Is(err, io.EOF)
+	r.eof = r.eof || errors.Is(err, io.EOF)
 	return n, err
 }
 
 // Close keeps the connection for the next request if this one and its answer have ended well.
 func (r *rest) Close() error {
 	x := r.transfer
-	unharmed := x.stop()
-	if unharmed && r.ended && x.reusable(r.res) {
+	uninterrupted := x.stop()
+	if uninterrupted && r.eof && x.reusable(r.res) {
 		x.conns.put(x.conn)
 		return nil
 	}
@@ -248,14 +248,14 @@
 }
 
 func (x *transfer) reusable(res *http.Response) bool {
-	if x.conn.spoiled || res.Close || x.conn.reader.Buffered() > 0 {
+	if x.conn.noReuse || res.Close || x.conn.reader.Buffered() > 0 {
 		return false
 	}
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
 		return false
 	}
 	select {
-	case err := <-x.wrote:
+	case err := <-x.writeDone:
 		return err == nil
 	default:
 		return false // the request has not been written whole
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -18,8 +18,8 @@
 	"github.com/tinladder/tinladder/forward"
 )
 
-// script is a target that answers each request with the next of its answers, as they stand.
-type script struct {
+// scriptedTarget is a target that answers each request with the next of its answers, as they stand.
+type scriptedTarget struct {
 	t        *testing.T
 	address  string
 	accepted atomic.Int32
@@ -27,15 +27,15 @@
 	paths    chan string
 }
 
-// serve answers connection after connection. Each connection gets the answers from the first on; a
+// startTarget answers connection after connection. Each connection gets the answers from the first on; a
 // connection closes after an answer that is empty, or after the last one.
-func serve(t *testing.T, answers ...string) *script {
+func startTarget(t *testing.T, answers ...string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &script{t: t, address: l.Addr().String(), paths: make(chan string, 100)}
+	s := &scriptedTarget{t: t, address: l.Addr().String(), paths: make(chan string, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *script) connection(c net.Conn, answers []string) {
+func (s *scriptedTarget) connection(c net.Conn, answers []string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for _, a := range answers {
@@ -68,7 +68,7 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func ok(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -86,7 +86,7 @@
 	return forward.NewConns(clock.NewSystem(), 200)
 }
 
-func send(t *testing.T, p *forward.Conns, s *script, r *forward.Request) (*forward.Answer, error) {
+func send(t *testing.T, p *forward.Conns, s *scriptedTarget, r *forward.Request) (*forward.Answer, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -95,7 +95,7 @@
 
 func TestConnectionIsUsedAgain(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, ok("1", "one"), ok("2", "two"), ok("3", "three"))
+	s := startTarget(t, okResponse("1", "one"), okResponse("2", "two"), okResponse("3", "three"))
 	p := newConns()
 	for i, want := range []string{"one", "two", "three"} {
 		a, err := send(t, p, s, request(string(rune('1'+i))))
@@ -112,14 +112,14 @@
 		name    string
 		answers []string
 	}{
-		{"extra, at once", []string{ok("1", "one") + ok("1", "one"), ok("2", "two")}},
-		{"late, in the next one's place", []string{ok("1", "one"), ok("1", "one") + ok("2", "two")}},
-		{"bytes that are no answer", []string{ok("1", "one") + "rubbish", ok("2", "two")}},
+		{"extra, at once", []string{okResponse("1", "one") + okResponse("1", "one"), okResponse("2", "two")}},
+		{"late, in the next one's place", []string{okResponse("1", "one"), okResponse("1", "one") + okResponse("2", "two")}},
+		{"bytes that are no answer", []string{okResponse("1", "one") + "rubbish", okResponse("2", "two")}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, c.answers...)
+			s := startTarget(t, c.answers...)
 			p := newConns()
 			a, err := send(t, p, s, request("1"))
 			is.NoErr(err)
@@ -136,7 +136,7 @@
 
 func TestOnlyStrayAnswersFail(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, ok("9", "a")+ok("8", "b")+ok("7", "c"))
+	s := startTarget(t, okResponse("9", "a")+okResponse("8", "b")+okResponse("7", "c"))
 	_, err := send(t, newConns(), s, request("1"))
 	is.True(errors.Is(err, forward.ErrAnswer))
 	is.True(errors.Is(err, forward.ErrSent))
@@ -145,11 +145,11 @@
 func TestAnswerWithoutIDCountsOnlyIfItMay(t *testing.T) {
 	is := is.New(t)
 	plain := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-	_, err := send(t, newConns(), serve(t, plain), request("1"))
+	_, err := send(t, newConns(), startTarget(t, plain), request("1"))
 	is.True(err != nil)
 	r := request("1")
 	r.IDOptional = true
-	a, err := send(t, newConns(), serve(t, plain), r)
+	a, err := send(t, newConns(), startTarget(t, plain), r)
 	is.NoErr(err)
 	is.Equal(string(a.Body), "hi")
 }
@@ -166,7 +166,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, answer, "")
+			s := startTarget(t, answer, "")
 			_, err := send(t, newConns(), s, request("1"))
 			is.True(err != nil)
 			is.True(errors.Is(err, forward.ErrSent))
@@ -177,7 +177,7 @@
 
 func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it", "")
+	s := startTarget(t, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it", "")
 	go func() { <-s.paths }()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -211,7 +211,7 @@
 // TestClosedIdleConnectionIsNotUsed has the target close a connection that rests.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, ok("1", "one"), "")
+	s := startTarget(t, okResponse("1", "one"), "")
 	p := newConns()
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
@@ -228,7 +228,7 @@
 func TestKeepAliveTimeIsKept(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	s := serve(t, strings.Replace(ok("1", "one"), "X-Id", "Keep-Alive: timeout=3\r\nX-Id", 1), ok("2", "two"))
+	s := startTarget(t, strings.Replace(okResponse("1", "one"), "X-Id", "Keep-Alive: timeout=3\r\nX-Id", 1), okResponse("2", "two"))
 	p := forward.NewConns(c, 200)
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
@@ -241,7 +241,7 @@
 func TestRestedConnectionIsLeftToOthers(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	s := serve(t, ok("1", "one"), ok("1", "one"))
+	s := startTarget(t, okResponse("1", "one"), okResponse("1", "one"))
 	p := forward.NewConns(c, 200)
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
@@ -294,7 +294,7 @@
 				if _, err := http.ReadRequest(r); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, ok("1", "early"))
+				_, _ = io.WriteString(c, okResponse("1", "early"))
 			}()
 		}
 	}()
@@ -354,7 +354,7 @@
 	for _, path := range []string{"/", "/a%2Fb?x=%20&y", "//double/slash", "/a?", "/ä"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, ok("1", "one"))
+			s := startTarget(t, okResponse("1", "one"))
 			r := request("1")
 			r.Target = path
 			_, err := send(t, newConns(), s, r)
@@ -369,7 +369,7 @@
 func TestBrokenBodyEndsTheRequest(t *testing.T) {
 	for _, length := range []int64{-1, 32 << 20} {
 		is := is.New(t)
-		s := serve(t, ok("1", "never"))
+		s := startTarget(t, okResponse("1", "never"))
 		broken := errors.New("broken")
 		r := request("1")
 		r.Method, r.Length = http.MethodPost, length
--- a/forward/source.go
+++ b/forward/source.go
@@ -26,8 +26,8 @@
 	return n, err
 }
 
-// broken returns why reading failed, or nil.
-func (s *source) broken() error {
+// readErr returns why reading failed, or nil.
+func (s *source) readErr() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.err
--- a/forward/writer.go
+++ b/forward/writer.go
@@ -9,6 +9,6 @@
 // A bufioWriter gathers a request's header and small body into one write.
 type bufioWriter struct{ *bufio.Writer }
 
-const writeBuffer = 8 << 10
+const writeBufferSize = 8 << 10
 
-var writers = sync.Pool{New: func() any { return &bufioWriter{bufio.NewWriterSize(io.Discard, writeBuffer)} }}
+var writers = sync.Pool{New: func() any { return &bufioWriter{bufio.NewWriterSize(io.Discard, writeBufferSize)} }}
