--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -11,9 +11,9 @@
 const (
 	// MaxTried bounds the targets that one request goes to.
 	MaxTried = 6
-	// fairShare is the part of a usual service time that must be left for another attempt: with less it would fail
+	// minTimeShare is the part of a usual service time that must be left for another attempt: with less it would fail
 	// more often than not, and cost a slot all the same.
-	fairShare = 0.5
+	minTimeShare = 0.5
 )
 
 // A Plan is what a request allows.
@@ -73,16 +73,16 @@
 
 // Next says what follows an attempt. It asks the budget for one more attempt only where there would be one: more
 // says whether the fleet may make it, and counts it.
-func (p Plan) Next(e End, at Progress, more func() bool) Step {
+func (p Plan) Next(e End, at Progress, takeBudget func() bool) Step {
 	if e.Answered && !e.Failed && !e.NotRun {
 		return Answer
 	}
 	unknown := !e.Answered && !e.Unsent
-	again := e.Unsent || e.NotRun || p.Repeatable && at.Ran < p.Most
+	retryable := e.Unsent || e.NotRun || p.Repeatable && at.Ran < p.Most
 	switch {
 	case at.CallerLeft && (p.Repeatable || at.Ran == 0):
 		return Gone
-	case again && p.room(at) && (e.Unsent || !p.Sole && more()):
+	case retryable && p.canRetry(at) && (e.Unsent || !p.Sole && takeBudget()):
 		return Again
 	case unknown:
 		return Unknown
@@ -92,9 +92,9 @@
 	return Answer
 }
 
-// room says whether another attempt can be made, and be in time.
-func (p Plan) room(at Progress) bool {
-	return !p.Streamed && !at.Ending && at.Tried < MaxTried && float64(at.Left) >= fairShare*float64(at.Usual)
+// canRetry says whether another attempt can be made, and be in time.
+func (p Plan) canRetry(at Progress) bool {
+	return !p.Streamed && !at.Ending && at.Tried < MaxTried && float64(at.Left) >= minTimeShare*float64(at.Usual)
 }
 
 // Hedges says whether a second attempt may run beside the first.
--- a/delta/delta.go
+++ b/delta/delta.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// baseID marks a value that was packed against another one.
-	baseID = 1
-	// leastBase is the smallest value, in bytes, that is worth packing against.
-	leastBase = 64
-	// leastWindow and mostWindow bound, in bytes, how far back equal parts are found. The window holds
+	// dictID marks a value that was packed against another one.
+	dictID = 1
+	// minBase is the smallest value, in bytes, that is worth packing against.
+	minBase = 64
+	// minWindow and mostWindow bound, in bytes, how far back equal parts are found. The window holds
 	// both values, since most of the newer one stands somewhere in the older.
-	leastWindow = 64 << 10
-	mostWindow  = 8 << 20
+	minWindow = 64 << 10
+	maxWindow = 8 << 20
 )
 
-// sharedWindow is the largest value, in bytes, for which an encoder without a base is kept and used again.
-const sharedWindow = 256 << 10
+// pooledWindow is the largest value, in bytes, for which an encoder without a base is kept and used again.
+const pooledWindow = 256 << 10
 
-// shared are encoders without a base: making one costs more than a small value takes.
-var shared = sync.Pool{New: func() any {
+// pooledEncoders are encoders without a base: making one costs more than a small value takes.
+var pooledEncoders = sync.Pool{New: func() any {
 	w, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
-		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(sharedWindow))
+		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(pooledWindow))
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -37,17 +37,17 @@
 // Pack returns the value, to be unpacked with the same base. A base of less than 64 bytes is not used.
 func Pack(base, value []byte) (packed []byte, err error) {
 	defer func() { err = errors.Wrap(err, "pack value") }()
-	if len(base) < leastBase && len(value) <= sharedWindow {
-		w := shared.Get().(*zstd.Encoder)
-		defer shared.Put(w)
+	if len(base) < minBase && len(value) <= pooledWindow {
+		w := pooledEncoders.Get().(*zstd.Encoder)
+		defer pooledEncoders.Put(w)
 		return w.EncodeAll(value, nil), nil
 	}
 	opts := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(windowOf(len(base) + len(value))),
+		zstd.WithWindowSize(windowSize(len(base) + len(value))),
 	}
-	if len(base) >= leastBase {
-		opts = append(opts, zstd.WithEncoderDictRaw(baseID, base))
+	if len(base) >= minBase {
+		opts = append(opts, zstd.WithEncoderDictRaw(dictID, base))
 	}
 	w, err := zstd.NewWriter(nil, opts...)
 	if err != nil {
@@ -58,14 +58,14 @@
 }
 
 // Unpack returns the value of at most so many bytes that was packed against the base.
-func Unpack(base, packed []byte, most int) (value []byte, err error) {
+func Unpack(base, packed []byte, maxSize int) (value []byte, err error) {
 	defer func() { err = errors.Wrap(err, "unpack value") }()
 	opts := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(most)),
-		zstd.WithDecoderMaxWindow(mostWindow),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(maxSize)),
+		zstd.WithDecoderMaxWindow(maxWindow),
 	}
-	if len(base) >= leastBase {
-		opts = append(opts, zstd.WithDecoderDictRaw(baseID, base))
+	if len(base) >= minBase {
+		opts = append(opts, zstd.WithDecoderDictRaw(dictID, base))
 	}
 	r, err := zstd.NewReader(nil, opts...)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return r.DecodeAll(packed, nil)
 }
 
-// windowOf returns the power of two that holds so many bytes, within bounds.
-func windowOf(bytes int) int {
-	return min(max(1<<bits.Len(uint(bytes)), leastWindow), mostWindow)
+// windowSize returns the power of two that holds so many bytes, within bounds.
+func windowSize(bytes int) int {
+	return min(max(1<<bits.Len(uint(bytes)), minWindow), maxWindow)
 }
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-const most = 8 << 20
+const maxSize = 8 << 20
 
 // rows returns so many lines with names by chance, the same for the same seed.
 func rows(seed uint64, count int) [][]byte {
@@ -50,7 +50,7 @@
 			is.NoErr(err)
 			t.Logf("%d bytes of %d", len(packed), len(value))
 			is.True(len(packed) <= c.most)
-			got, err := delta.Unpack(base, packed, most)
+			got, err := delta.Unpack(base, packed, maxSize)
 			is.NoErr(err)
 			is.True(bytes.Equal(got, value))
 		})
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := delta.Unpack(base, packed, most)
+		got, err := delta.Unpack(base, packed, maxSize)
 		if err != nil || !bytes.Equal(got, value) {
 			t.Fatalf("%v, %q for %q", err, got, value)
 		}
--- a/door/arrived_conn_test.go
+++ b/door/arrived_conn_test.go
@@ -21,16 +21,16 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, resting: true, kept: true}
+	c := &conn{Conn: accepted, door: &Door{}, idle: true, answered: true}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Second)))
 	const sent = "GET / HTTP/1.1\r\n"
 	_, err = io.WriteString(caller, sent)
 	is.NoErr(err)
 	time.Sleep(20 * time.Millisecond)
-	c.hangUp()
+	c.closeWhenIdle()
 	got := make([]byte, len(sent)+1)
 	n, err := c.Read(got)
 	is.NoErr(err)
 	is.Equal(string(got[:n]), sent)
-	is.True(!c.rests())
+	is.True(!c.isIdle())
 }
--- a/door/conn.go
+++ b/door/conn.go
@@ -15,84 +15,84 @@
 // A conn is a connection of a door.
 type conn struct {
 	net.Conn
-	door *Door
-	idle func() time.Duration
-	// watch ends reading at requests that say in two ways where they end.
-	watch framing.Watch
+	door        *Door
+	idleTimeout func() time.Duration
+	// framing ends reading at requests that say in two ways where they end.
+	framing framing.Watch
 
 	mu sync.Mutex
-	// resting says that no request is on it, as far as has been read, and kept that one has been answered on it.
-	resting, kept bool
-	// ending says that it ends as soon as it rests.
-	ending bool
-	// ahead says that the next request has begun to come beside the one that is worked on, and waits that the server
+	// idle says that no request is on it, as far as has been read, and answered that one has been answered on it.
+	idle, answered bool
+	// closing says that it ends as soon as it rests.
+	closing bool
+	// nextStarted says that the next request has begun to come beside the one that is worked on, and awaitingNext that the server
 	// has begun to wait for the next one.
-	ahead, waits bool
-	// until is the read deadline that the server has set.
-	until time.Time
+	nextStarted, awaitingNext bool
+	// readDeadline is the read deadline that the server has set.
+	readDeadline time.Time
 }
 
-func (c *conn) rests() bool {
+func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.resting
+	return c.idle
 }
 
-// hangUp ends the connection if it rests, and otherwise as soon as it does. Only reading is ended, so the server closes
+// closeWhenIdle ends the connection if it rests, and otherwise as soon as it does. Only reading is ended, so the server closes
 // it, and only if nothing was read: what has been read of a request takes the end back, and is answered.
-func (c *conn) hangUp() {
+func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	if c.resting {
+	c.closing = true
+	if c.idle {
 		_ = c.Conn.SetReadDeadline(past)
 	}
 }
 
-// rest notes that the answer of the last request has been written. The connection does not rest if some of the next one has
+// setIdle notes that the answer of the last request has been written. The connection does not setIdle if some of the next one has
 // been read.
-func (c *conn) rest() {
+func (c *conn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting, c.kept = !c.ahead, true
-	c.ahead, c.waits = false, false
+	c.idle, c.answered = !c.nextStarted, true
+	c.nextStarted, c.awaitingNext = false, false
 }
 
-// work notes that a request has begun to come.
-func (c *conn) work() {
+// setBusy notes that a request has begun to come.
+func (c *conn) setBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begin()
+	c.setBusyLocked()
 }
 
-// begin is work for those that hold the lock.
-func (c *conn) begin() {
-	if c.resting && c.ending {
-		_ = c.Conn.SetReadDeadline(c.until)
+// setBusyLocked is work for those that hold the lock.
+func (c *conn) setBusyLocked() {
+	if c.idle && c.closing {
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
-	c.resting = false
+	c.idle = false
 }
 
-// noteState notes what the server says of a connection. That a request has come it says only once its header has been
+// trackState notes what the server says of a connection. That a request has come it says only once its header has been
 // read whole: a connection is at work from the first byte on.
-func noteState(nc net.Conn, s http.ConnState) {
-	c, ours := nc.(*conn)
-	if !ours {
+func trackState(nc net.Conn, s http.ConnState) {
+	c, ok := nc.(*conn)
+	if !ok {
 		return
 	}
 	switch s {
 	case http.StateActive:
-		c.work()
+		c.setBusy()
 	case http.StateIdle:
-		c.rest()
+		c.setIdle()
 	}
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	n, err := c.watch.Read(socket{c}, p)
+	n, err := c.framing.Read(socket{c}, p)
 	if n > 0 {
-		c.came(len(p) == 1)
+		c.noteRead(len(p) == 1)
 	}
 	return n, err
 }
@@ -106,8 +106,8 @@
 // rests would end on a request, hung up or not: 77 to 200 of 200 that were there already had no answer (one processor).
 func (s socket) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
-	if n <= 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.rests() {
-		if n = s.arrived(p); n > 0 {
+	if n <= 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.isIdle() {
+		if n = s.recvBuffered(p); n > 0 {
 			return n, nil
 		}
 		_ = s.CloseWrite() // at once: what comes between the last look and the end is lost
@@ -115,16 +115,16 @@
 	return n, err
 }
 
-// came notes that something has been read. Beside a request the server reads one byte, and nowhere else.
-func (c *conn) came(one bool) {
+// noteRead notes that something has been read. Beside a request the server reads one byte, and nowhere else.
+func (c *conn) noteRead(one bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ahead = one && !c.resting
-	c.begin()
+	c.nextStarted = one && !c.idle
+	c.setBusyLocked()
 }
 
-// arrived reads what has come, without waiting and whatever the deadline.
-func (c *conn) arrived(p []byte) (n int) {
+// recvBuffered reads what has come, without waiting and whatever the deadline.
+func (c *conn) recvBuffered(p []byte) (n int) {
 	sc, isSocket := c.Conn.(syscall.Conn)
 	if !isSocket {
 		return 0
@@ -142,14 +142,14 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.resting && c.kept {
-		c.resting, c.waits = !c.waits, true
+	if c.idle && c.answered {
+		c.idle, c.awaitingNext = !c.awaitingNext, true
 	}
-	if c.resting && c.kept && c.idle != nil && !t.IsZero() {
-		t = time.Now().Add(c.idle())
+	if c.idle && c.answered && c.idleTimeout != nil && !t.IsZero() {
+		t = time.Now().Add(c.idleTimeout())
 	}
-	c.until = t
-	if c.resting && c.ending {
+	c.readDeadline = t
+	if c.idle && c.closing {
 		t = past
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -158,15 +158,15 @@
 // CloseWrite ends what goes to the visitor. The server does so before it closes a connection on which more comes than it
 // reads: without it the visitor's system would meet a reset before the answer has been read.
 func (c *conn) CloseWrite() error {
-	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
-		return half.CloseWrite()
+	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return w.CloseWrite()
 	}
 	return nil
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.door.closed(c)
+	c.door.removeConn(c)
 	_ = c.CloseWrite() // what has been written arrives before the reset that unread bytes cause
 	return c.Conn.Close()
 }
--- a/door/conn_test.go
+++ b/door/conn_test.go
@@ -31,16 +31,16 @@
 func TestWhatHasBeenReadTakesTheEndBack(t *testing.T) {
 	is := is.New(t)
 	x := &crossing{}
-	c := &conn{Conn: x, door: &Door{}, resting: true}
-	x.hangUp = c.hangUp
+	c := &conn{Conn: x, door: &Door{}, idle: true}
+	x.hangUp = c.closeWhenIdle
 	header := time.Now().Add(time.Second)
 	is.NoErr(c.SetReadDeadline(header))
 	n, err := c.Read(make([]byte, 1))
 	is.NoErr(err)
 	is.Equal(n, 1)
 	is.Equal(x.deadline, header)
-	is.True(!c.rests())
-	c.rest() // once it is answered
+	is.True(!c.isIdle())
+	c.setIdle() // once it is answered
 	is.NoErr(c.SetReadDeadline(header))
 	is.Equal(x.deadline, past)
 }
--- a/door/door.go
+++ b/door/door.go
@@ -16,9 +16,9 @@
 type Door struct {
 	name     string
 	listener *listener
-	server   *http.Server
-	// sendsAway says that answers ask visitors to leave their connections.
-	sendsAway atomic.Bool
+	http     *http.Server
+	// keepAlivesDisabled says that answers ask visitors to leave their connections.
+	keepAlivesDisabled atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
@@ -26,21 +26,21 @@
 
 // Listen returns a door at the address that serves nobody yet. If idle is not nil it says how long a connection may
 // rest, in place of the server's own bound, which cannot change.
-func Listen(name, address string, s *http.Server, idle func() time.Duration) (*Door, error) {
+func Listen(name, address string, s *http.Server, idleTimeout func() time.Duration) (*Door, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{name: name, server: s, conns: map[*conn]struct{}{}}
-	d.listener = &listener{TCPListener: l.(*net.TCPListener), door: d, idle: idle}
-	s.ConnState, s.Handler = noteState, d.handler(s.Handler)
+	d := &Door{name: name, http: s, conns: map[*conn]struct{}{}}
+	d.listener = &listener{TCPListener: l.(*net.TCPListener), door: d, idleTimeout: idleTimeout}
+	s.ConnState, s.Handler = trackState, d.handler(s.Handler)
 	return d, nil
 }
 
 // handler sends visitors away with their answers, once they are to go.
 func (d *Door) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.sendsAway.Load() {
+		if d.keepAlivesDisabled.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
@@ -55,18 +55,18 @@
 // Serve serves visitors until the door is shut.
 func (d *Door) Serve() error {
 	defer d.listener.closed.Store(true)
-	return d.server.Serve(d.listener)
+	return d.http.Serve(d.listener)
 }
 
 // SendAway has visitors leave their connections after their next answers. Those that rest stay open: a request may be on
 // its way on them.
 func (d *Door) SendAway() {
-	d.sendsAway.Store(true)
+	d.keepAlivesDisabled.Store(true)
 }
 
 // Shut takes no further connections, but for those that visitors hold to be open. Those that are open stay.
 func (d *Door) Shut() {
-	d.listener.shut()
+	d.listener.stopAccepting()
 }
 
 // IsShut says whether nobody comes in any more.
@@ -81,13 +81,13 @@
 	conns := slices.Collect(maps.Keys(d.conns)) // with the lock held, none of them could close until all had been hung up
 	d.mu.Unlock()
 	for _, c := range conns {
-		c.hangUp()
+		c.closeWhenIdle()
 	}
 }
 
 // Close closes the door and all its connections at once.
 func (d *Door) Close() {
-	_ = d.server.Close()
+	_ = d.http.Close()
 	_ = d.listener.Close()
 }
 
@@ -118,7 +118,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
-		if c.rests() {
+		if c.isIdle() {
 			n.Resting++
 		} else {
 			n.Busy++
@@ -127,13 +127,13 @@
 	return n
 }
 
-func (d *Door) opened(c *conn) {
+func (d *Door) addConn(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.conns[c] = struct{}{}
 }
 
-func (d *Door) closed(c *conn) {
+func (d *Door) removeConn(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.conns, c)
--- a/door/hangup_test.go
+++ b/door/hangup_test.go
@@ -30,13 +30,13 @@
 	d := &Door{conns: map[*conn]struct{}{}}
 	h := &held{entered: make(chan bool), free: make(chan bool)}
 	other := &conn{door: d}
-	d.opened(&conn{Conn: h, door: d, resting: true})
+	d.addConn(&conn{Conn: h, door: d, idle: true})
 	go d.HangUp()
 	<-h.entered
 	closed := make(chan bool)
 	go func() {
-		d.opened(other)
-		d.closed(other)
+		d.addConn(other)
+		d.removeConn(other)
 		close(closed)
 	}()
 	select {
@@ -60,9 +60,9 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, resting: true, kept: true}
+	c := &conn{Conn: accepted, door: &Door{}, idle: true, answered: true}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
-	c.hangUp()
+	c.closeWhenIdle()
 	_, err = c.Read(make([]byte, 100))
 	is.True(err != nil)
 	is.NoErr(caller.SetReadDeadline(time.Now().Add(2 * time.Second)))
--- a/door/idle_test.go
+++ b/door/idle_test.go
@@ -24,7 +24,7 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, resting: true, kept: true, idle: func() time.Duration { return 10 * time.Millisecond }}
+	c := &conn{Conn: accepted, door: &Door{}, idle: true, answered: true, idleTimeout: func() time.Duration { return 10 * time.Millisecond }}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
 	const sent = "GET / HTTP/1.1\r\n"
 	_, err = io.WriteString(caller, sent)
@@ -34,7 +34,7 @@
 	n, err := c.Read(got)
 	is.NoErr(err)
 	is.Equal(string(got[:n]), sent)
-	is.True(!c.rests())
+	is.True(!c.isIdle())
 }
 
 // TestRestThatIsOverEndsTheConnection: without a request there, the time alone decides.
--- a/door/listener.go
+++ b/door/listener.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// lastLook is how long the listener looks for visitors at a time, once it is to close.
-	lastLook = time.Millisecond
-	// lastVisitors are the most that it takes in then: as many as the system keeps waiting. A bound on the time would reset
+	// acceptPoll is how long the listener looks for visitors at a time, once it is to close.
+	acceptPoll = time.Millisecond
+	// maxLateAccepts are the most that it takes in then: as many as the system keeps waiting. A bound on the time would reset
 	// all who wait where the process stands still for that long.
-	lastVisitors = 4096
+	maxLateAccepts = 4096
 )
 
 // past ends at once what waits.
@@ -24,51 +24,51 @@
 // A listener notes the connections of its door.
 type listener struct {
 	*net.TCPListener
-	door *Door
-	idle func() time.Duration
-	// shuts says that it is to close once nobody waits, and late are those that it has taken in since; only Accept, which
+	door        *Door
+	idleTimeout func() time.Duration
+	// closing says that it is to close once nobody waits, and late are those that it has taken in since; only Accept, which
 	// one goroutine calls, counts them.
-	shuts  atomic.Bool
-	late   int
-	closed atomic.Bool
+	closing     atomic.Bool
+	lateAccepts int
+	closed      atomic.Bool
 }
 
-// shut has the listener close once those that have connected are in. The system completes connections by itself; closed
+// stopAccepting has the listener close once those that have connected are in. The system completes connections by itself; closed
 // at once, the listener would reset those that wait to be accepted, with the first requests that were sent on them.
-func (l *listener) shut() {
-	l.shuts.Store(true)
+func (l *listener) stopAccepting() {
+	l.closing.Store(true)
 	_ = l.SetDeadline(past)
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
-	looking := false
+	polled := false
 	for {
 		nc, err := l.TCPListener.Accept()
 		if err == nil {
-			if l.shuts.Load() {
-				l.late++
+			if l.closing.Load() {
+				l.lateAccepts++
 			}
-			c := &conn{Conn: nc, door: l.door, idle: l.idle, resting: true}
-			l.door.opened(c)
+			c := &conn{Conn: nc, door: l.door, idleTimeout: l.idleTimeout, idle: true}
+			l.door.addConn(c)
 			return c, nil
 		}
 		switch {
-		case !l.shuts.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
+		case !l.closing.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
-		case l.late >= lastVisitors, looking && !l.waited():
+		case l.lateAccepts >= maxLateAccepts, polled && !l.connPending():
 			_ = l.Close()
 			l.closed.Store(true)
 			return nil, net.ErrClosed
 		}
-		looking = true
-		_ = l.SetDeadline(time.Now().Add(lastLook))
+		polled = true
+		_ = l.SetDeadline(time.Now().Add(acceptPoll))
 	}
 }
 
-// waited says whether somebody waits to be let in. That the deadline is over does not tell: the look that it ended may not
+// connPending says whether somebody waits to be let in. That the deadline is over does not tell: the look that it ended may not
 // have been taken.
-func (l *listener) waited() (waits bool) {
+func (l *listener) connPending() (waits bool) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
--- a/door/open_test.go
+++ b/door/open_test.go
@@ -11,7 +11,7 @@
 // counted: a visitor who came in between, as the last one before it shut, was in neither, and the end would cut him.
 func TestDoorThatShutsWhileItIsCountedIsOpen(t *testing.T) {
 	is := is.New(t)
-	c := &conn{resting: true}
+	c := &conn{idle: true}
 	d := &Door{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
 	c.mu.Lock() // the count waits for it
 	counted := make(chan int)
--- a/framing/watch.go
+++ b/framing/watch.go
@@ -15,86 +15,86 @@
 // errAmbiguous ends reading at a request that has two lengths, a length and chunks, or a coding though it is of HTTP/1.0.
 var errAmbiguous = errors.New("the request says in two ways where it ends")
 
-// refused is what the library reads in place of an ambiguous header's end: no header line, so that it answers with 400 and
+// refusal is what the library reads in place of an ambiguous header's end: no header line, so that it answers with 400 and
 // closes the connection. An error would reach it while it works on the request before, and end that one.
-var refused = []byte("\x00\r\n")
+var refusal = []byte("\x00\r\n")
 
 // A Watch struct follows the requests on one connection. The zero value is at the start of the first one. It follows what
 // the library takes; once the library has to refuse it follows nothing more, since the connection ends with that.
 type Watch struct {
-	at        place
+	state     state
 	ambiguous bool
-	// told is how much has been read of what is refused.
-	told int
+	// refusalRead is how much has been read of what is refused.
+	refusalRead int
 	// line is what has come of a line that has not ended. The library bounds how long one may get, as it stops reading.
 	line []byte
-	// left is what is to come of a body, or of a chunk.
-	left uint64
-	head head
+	// remaining is what is to come of a body, or of a chunk.
+	remaining uint64
+	head      head
 }
 
-// A place is where in a request the bytes are.
-type place int
+// A state is where in a request the bytes are.
+type state int
 
 const (
-	atHead place = iota
-	atBody
-	atSize
-	atChunk
-	atChunkEnd
-	atTrailer
-	lost
+	inHeader state = iota
+	inBody
+	inChunkSize
+	inChunk
+	afterChunk
+	inTrailer
+	unknown
 )
 
 // Read reads from r, up to the end of an ambiguous request's header. In its place comes what the library refuses.
-func (w *Watch) Read(r io.Reader, p []byte) (int, error) {
-	if !w.ambiguous {
+func (f *Watch) Read(r io.Reader, p []byte) (int, error) {
+	if !f.ambiguous {
 		n, err := r.Read(p)
-		taken := w.take(p[:n])
-		if !w.ambiguous {
+		passed := f.scan(p[:n])
+		if !f.ambiguous {
 			return n, err
 		}
-		if taken > 0 {
-			return taken, nil
+		if passed > 0 {
+			return passed, nil
 		}
 	}
-	if w.told == len(refused) {
+	if f.refusalRead == len(refusal) {
 		return 0, errAmbiguous
 	}
-	n := copy(p, refused[w.told:])
-	w.told += n
+	n := copy(p, refusal[f.refusalRead:])
+	f.refusalRead += n
 	return n, nil
 }
 
 // Ambiguous says whether reading ended at an ambiguous request.
-func (w *Watch) Ambiguous() bool {
-	return w.ambiguous
+func (f *Watch) Ambiguous() bool {
+	return f.ambiguous
 }
 
-// take follows the bytes, and returns how many of them may go on.
-func (w *Watch) take(p []byte) int {
+// scan follows the bytes, and returns how many of them may go on.
+func (f *Watch) scan(p []byte) int {
 	i := 0
 	for i < len(p) {
-		switch w.at {
-		case lost:
+		switch f.state {
+		case unknown:
 			return len(p)
-		case atBody, atChunk:
-			n := min(w.left, uint64(len(p)-i))
-			w.left -= n
+		case inBody, inChunk:
+			n := min(f.remaining, uint64(len(p)-i))
+			f.remaining -= n
 			i += int(n)
-			if w.left == 0 {
-				w.at = w.after()
+			if f.remaining == 0 {
+				f.state = f.nextState()
 			}
 			continue
 		}
-		end := bytes.IndexByte(p[i:], '\n')
-		if end < 0 {
-			w.line = append(w.line, p[i:]...)
+		eol := bytes.IndexByte(p[i:], '\n')
+		if eol < 0 {
+			f.line = append(f.line, p[i:]...)
 			return len(p)
 		}
-		w.ended(p[i : i+end])
-		i += end
-		if w.ambiguous {
+		f.endLine(p[i : i+eol])
+		i += eol
+		if f.ambiguous {
 			return i
 		}
 		i++
@@ -102,76 +102,76 @@
 	return i
 }
 
-// after is what follows a body, or a chunk.
-func (w *Watch) after() place {
-	if w.at == atChunk {
-		return atChunkEnd
+// nextState is what follows a body, or a chunk.
+func (f *Watch) nextState() state {
+	if f.state == inChunk {
+		return afterChunk
 	}
-	return atHead
+	return inHeader
 }
 
-// ended takes the rest of a line, without its LF.
-func (w *Watch) ended(rest []byte) {
+// endLine takes the rest of a line, without its LF.
+func (f *Watch) endLine(rest []byte) {
 	line := rest
-	if len(w.line) > 0 {
-		line = append(w.line, rest...)
-		w.line = w.line[:0]
+	if len(f.line) > 0 {
+		line = append(f.line, rest...)
+		f.line = f.line[:0]
 	}
 	text, strict := bytes.CutSuffix(line, []byte("\r"))
 	switch {
-	case w.at == atHead && w.head.take(text):
-		w.begin(w.head)
-		w.head = head{}
-	case w.at == atSize:
-		w.size(text, strict)
-	case w.at == atChunkEnd && strict && len(text) == 0:
-		w.at = atSize
-	case w.at == atChunkEnd:
-		w.at = lost
-	case w.at == atTrailer && len(text) == 0:
-		w.at = atHead
+	case f.state == inHeader && f.head.addLine(text):
+		f.endHeader(f.head)
+		f.head = head{}
+	case f.state == inChunkSize:
+		f.startChunk(text, strict)
+	case f.state == afterChunk && strict && len(text) == 0:
+		f.state = inChunkSize
+	case f.state == afterChunk:
+		f.state = unknown
+	case f.state == inTrailer && len(text) == 0:
+		f.state = inHeader
 	}
 }
 
-// begin goes on to what the header says comes next.
-func (w *Watch) begin(h head) {
+// endHeader goes on to what the header says comes next.
+func (f *Watch) endHeader(h head) {
 	chunked := h.codings == 1 && strings.EqualFold(h.coding, "chunked")
 	switch {
-	case h.foreign:
-		w.at = lost
-	case h.old && h.codings > 0, chunked && h.lengths > 0:
-		w.ambiguous = true
+	case h.http2:
+		f.state = unknown
+	case h.http10 && h.codings > 0, chunked && h.lengths > 0:
+		f.ambiguous = true
 	case chunked:
-		w.at = atSize
+		f.state = inChunkSize
 	case h.codings > 0:
-		w.at = lost
+		f.state = unknown
 	case h.lengths > 1:
-		w.ambiguous = true
+		f.ambiguous = true
 	case h.lengths == 1:
-		w.body(h.length)
+		f.startBody(h.length)
 	}
 }
 
-func (w *Watch) body(length string) {
+func (f *Watch) startBody(length string) {
 	n, err := strconv.ParseUint(length, 10, 63)
 	switch {
 	case err != nil:
-		w.at = lost
+		f.state = unknown
 	case n > 0:
-		w.at, w.left = atBody, n
+		f.state, f.remaining = inBody, n
 	}
 }
 
-// size takes the line before a chunk.
-func (w *Watch) size(line []byte, strict bool) {
+// startChunk takes the line before a chunk.
+func (f *Watch) startChunk(line []byte, strict bool) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 64)
 	switch {
 	case err != nil || !strict:
-		w.at = lost
+		f.state = unknown
 	case n == 0:
-		w.at = atTrailer
+		f.state = inTrailer
 	default:
-		w.at, w.left = atChunk, n
+		f.state, f.remaining = inChunk, n
 	}
 }
--- a/latency/latency.go
+++ b/latency/latency.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// span is how long an answer is counted at least; twice as long at most.
-	span = 15 * clock.Second
-	// longest bounds what is told apart, in milliseconds, and digits how finely: one digit is within a tenth.
-	longest = 60000
-	digits  = 1
-	// enough is how many answers say something of a quantile.
-	enough = 20
+	// window is how long an answer is counted at least; twice as long at most.
+	window = 15 * clock.Second
+	// maxMillis bounds what is told apart, in milliseconds, and digits how finely: one digit is within a tenth.
+	maxMillis         = 60000
+	significantDigits = 1
+	// minSamples is how many answers say something of a quantile.
+	minSamples = 20
 )
 
 // A Track struct holds how long one kind of request took of late. It is safe for concurrent use. It
@@ -24,20 +24,20 @@
 type Track struct {
 	clock clock.Clock
 
-	mu    sync.Mutex
-	began clock.Millis
+	mu          sync.Mutex
+	windowStart clock.Millis
 	// current counts since then, and all what came before, too.
 	current *hdrhistogram.Histogram
-	all     *hdrhistogram.Histogram
+	total   *hdrhistogram.Histogram
 }
 
 // New returns a track that knows nothing.
 func New(c clock.Clock) *Track {
-	return &Track{clock: c, began: c.Now(), current: histogram(), all: histogram()}
+	return &Track{clock: c, windowStart: c.Now(), current: histogram(), total: histogram()}
 }
 
 func histogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longest, digits)
+	return hdrhistogram.New(1, maxMillis, significantDigits)
 }
 
 // Add counts an answer that took so long. One that was not waited for to its end counts with the time
@@ -45,35 +45,35 @@
 func (t *Track) Add(took clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn()
-	ms := min(max(int64(took), 1), longest)
+	t.rotate()
+	ms := min(max(int64(took), 1), maxMillis)
 	_ = t.current.RecordValue(ms) // within the bounds it does not fail
-	_ = t.all.RecordValue(ms)
+	_ = t.total.RecordValue(ms)
 }
 
-// turn drops what is too old.
-func (t *Track) turn() {
+// rotate drops what is too old.
+func (t *Track) rotate() {
 	now := t.clock.Now()
-	if now-t.began < span {
+	if now-t.windowStart < window {
 		return
 	}
-	t.all.Reset()
-	if now-t.began < 2*span {
-		t.all.Merge(t.current)
+	t.total.Reset()
+	if now-t.windowStart < 2*window {
+		t.total.Merge(t.current)
 	}
 	t.current.Reset()
-	t.began = now
+	t.windowStart = now
 }
 
 // Quantile returns how long the share of the answers took at most, and false if too few are known.
 func (t *Track) Quantile(share float64) (clock.Millis, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn()
-	if t.all.TotalCount() < enough {
+	t.rotate()
+	if t.total.TotalCount() < minSamples {
 		return 0, false
 	}
-	return clock.Millis(t.all.ValueAtQuantile(share * percent)), true
+	return clock.Millis(t.total.ValueAtQuantile(share * percent)), true
 }
 
 const percent = 100
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -11,29 +11,29 @@
 
 // A Pacer struct admits work while what was charged for is nearly over. It is safe for concurrent use.
 type Pacer struct {
-	clock clock.Clock
-	ahead clock.Millis
+	clock    clock.Clock
+	maxAhead clock.Millis
 
 	mu sync.Mutex
-	// taken is until when what was charged for takes, in milliseconds of the clock.
-	taken float64
+	// busyUntil is until when what was charged for takes, in milliseconds of the clock.
+	busyUntil float64
 }
 
 // New returns a pacer that admits work while no more than ahead is promised.
-func New(c clock.Clock, ahead clock.Millis) *Pacer {
-	return &Pacer{clock: c, ahead: ahead}
+func New(c clock.Clock, maxAhead clock.Millis) *Pacer {
+	return &Pacer{clock: c, maxAhead: maxAhead}
 }
 
 // Admits says whether more may be done now.
 func (p *Pacer) Admits() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.taken-float64(p.clock.Now()) <= float64(p.ahead)
+	return p.busyUntil-float64(p.clock.Now()) <= float64(p.maxAhead)
 }
 
 // Charge notes work that takes so many milliseconds at the rate allowed.
 func (p *Pacer) Charge(millis float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.taken = max(p.taken, float64(p.clock.Now())) + millis
+	p.busyUntil = max(p.busyUntil, float64(p.clock.Now())) + millis
 }
--- a/pacer/work.go
+++ b/pacer/work.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// mostPerJob bounds what one job is charged for: a process that stands still in the middle of one would do no other for
+	// maxChargePerJob bounds what one job is charged for: a process that stands still in the middle of one would do no other for
 	// long.
-	mostPerJob = 1 * clock.Second
-	// mostSlowdown bounds how many times as long as estimated a job counts: a small one that is interrupted once would count
+	maxChargePerJob = 1 * clock.Second
+	// maxSlowdown bounds how many times as long as estimated a job counts: a small one that is interrupted once would count
 	// as a large one.
-	mostSlowdown = 20
+	maxSlowdown = 20
 )
 
 // Part says what part of the processor a kind of work may take.
@@ -48,10 +48,10 @@
 	if !w.pacer.Admits() {
 		return false
 	}
-	begun := w.clock.Now()
+	start := w.clock.Now()
 	estimate := job()
-	took := float64(w.clock.Now()-begun) / w.part.Measured
-	counts := min(max(estimate, took), mostSlowdown*estimate)
-	w.pacer.Charge(min(counts/w.part.Share, float64(mostPerJob)))
+	took := float64(w.clock.Now()-start) / w.part.Measured
+	counts := min(max(estimate, took), maxSlowdown*estimate)
+	w.pacer.Charge(min(counts/w.part.Share, float64(maxChargePerJob)))
 	return true
 }
--- a/reading/target.go
+++ b/reading/target.go
@@ -23,21 +23,21 @@
 		return &Refusal{Status: http.StatusNotImplemented, Reason: "connections cannot be upgraded", Close: true}
 	case strings.Contains(uri, "#"):
 		return &Refusal{Status: http.StatusBadRequest, Reason: "a request's target has no fragment"} // RFC 9112, 3.2
-	case !strings.HasPrefix(uri, "/") && !absolute(r.URL):
+	case !strings.HasPrefix(uri, "/") && !isAbsoluteHTTP(r.URL):
 		return &Refusal{Status: http.StatusBadRequest, Reason: "the target is neither a path nor an absolute one of http"}
-	case !portSound(r.Host):
+	case !validPort(r.Host):
 		return &Refusal{Status: http.StatusBadRequest, Reason: "the host's port is no number"}
 	}
 	return nil
 }
 
-// absolute says whether the target names its host, and nobody's password (RFC 9110, 4.2.4).
-func absolute(u *url.URL) bool {
+// isAbsoluteHTTP says whether the target names its host, and nobody's password (RFC 9110, 4.2.4).
+func isAbsoluteHTTP(u *url.URL) bool {
 	return u.Scheme == "http" && u.Host != "" && u.User == nil
 }
 
-// portSound says whether what follows the host's name, if anything, is a port.
-func portSound(host string) bool {
+// validPort says whether what follows the host's name, if anything, is a port.
+func validPort(host string) bool {
 	_, port, _ := strings.Cut(host[strings.LastIndexByte(host, ']')+1:], ":")
 	return strings.Trim(port, "0123456789") == ""
 }
@@ -68,10 +68,10 @@
 	if isPlain(p) {
 		return p
 	}
-	if lax := bareDots(decoded(p, true)); hasParents(lax) {
-		return cleaned(lax)
+	if lax := stripDotParams(normalizeEscapes(p, true)); hasDotDot(lax) {
+		return cleanPath(lax)
 	}
-	return cleaned(bareDots(decoded(p, false)))
+	return cleanPath(stripDotParams(normalizeEscapes(p, false)))
 }
 
 // isPlain says that there is nothing to decode or to resolve.
@@ -96,8 +96,8 @@
 	return c >= 0x7f
 }
 
-// bareDots drops the parameters of dots: some readers drop those of all segments before they resolve dots.
-func bareDots(p string) string {
+// stripDotParams drops the parameters of dots: some readers drop those of all segments before they resolve dots.
+func stripDotParams(p string) string {
 	if !strings.Contains(p, ";") {
 		return p
 	}
@@ -110,7 +110,7 @@
 	return strings.Join(segments, "/")
 }
 
-func hasParents(p string) bool {
+func hasDotDot(p string) bool {
 	for segment := range strings.SplitSeq(p, "/") {
 		if segment == ".." {
 			return true
@@ -119,8 +119,8 @@
 	return false
 }
 
-// cleaned resolves dots and empty segments. What ends with a slash or dots still ends with a slash.
-func cleaned(p string) string {
+// cleanPath resolves dots and empty segments. What ends with a slash or dots still ends with a slash.
+func cleanPath(p string) string {
 	last := p[strings.LastIndexByte(p, '/')+1:]
 	p = path.Clean(p)
 	if (last == "" || last == "." || last == "..") && p != "/" {
@@ -129,9 +129,9 @@
 	return p
 }
 
-// decoded decodes what needs no encoding, and encodes what does; all else stays as it was written. If lax it takes
+// normalizeEscapes decodes what needs no encoding, and encodes what does; all else stays as it was written. If lax it takes
 // encoded slashes and all backslashes for slashes.
-func decoded(p string, lax bool) string {
+func normalizeEscapes(p string, lax bool) string {
 	var b strings.Builder
 	for i := 0; i < len(p); i++ {
 		c := p[i]
