--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -9,27 +9,27 @@
 import "github.com/tinladder/tinladder/clock"
 
 const (
-	// MaxTried bounds the targets that one request goes to.
-	MaxTried = 6
+	// MaxTargets bounds the targets that one request goes to.
+	MaxTargets = 6
 	// minTimeShare is the part of a usual service time that must be left for another attempt: with less it would fail
 	// more often than not, and cost a slot all the same.
 	minTimeShare = 0.5
 )
 
-// A Plan is what a request allows.
-type Plan struct {
+// A Policy is what a request allows.
+type Policy struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
 	// Streamed requests have a body that cannot be sent again.
 	Streamed bool
-	// Most is how many attempts may run.
-	Most int
-	// Sole requests go to one target only, whatever it does with them: some have crashed under them.
-	Sole bool
+	// MaxAttempts is how many attempts may run.
+	MaxAttempts int
+	// SingleTarget requests go to one target only, whatever it does with them: some have crashed under them.
+	SingleTarget bool
 }
 
-// An End is how an attempt ended, as far as it decides what follows.
-type End struct {
+// An Result is how an attempt ended, as far as it decides what follows.
+type Result struct {
 	// Answered says that the target gave an answer, Failed that it is a failure, and NotRun that the target says
 	// that it did not run the request.
 	Answered, Failed, NotRun bool
@@ -41,12 +41,12 @@
 type Progress struct {
 	// Ran counts the attempts that a target may have run, and Tried the targets that it went to.
 	Ran, Tried int
-	// Left is the time until its deadline, and Usual how long its service usually takes.
-	Left, Usual clock.Millis
-	// CallerLeft says that nobody waits for the answer.
-	CallerLeft bool
-	// Ending says that the node has no time for another attempt.
-	Ending bool
+	// TimeLeft is the time until its deadline, and TypicalTime how long its service usually takes.
+	TimeLeft, TypicalTime clock.Millis
+	// CallerGone says that nobody waits for the answer.
+	CallerGone bool
+	// Stopping says that the node has no time for another attempt.
+	Stopping bool
 }
 
 // A Step is what follows.
@@ -54,16 +54,16 @@
 
 // Steps.
 const (
-	// Answer passes the target's answer on.
-	Answer Step = iota
-	// Again tries another target.
-	Again
+	// Respond passes the target's answer on.
+	Respond Step = iota
+	// Retry tries another target.
+	Retry
 	// NotRun gives the request up, and says that it has not run.
 	NotRun
 	// Unknown gives it up, and says that it may have run.
 	Unknown
-	// Gone ends it, since its caller has left.
-	Gone
+	// Canceled ends it, since its caller has left.
+	Canceled
 )
 
 // String returns the step's name.
@@ -73,31 +73,31 @@
 
 // Next says what follows an attempt. It asks the budget for one more attempt only where there would be one: more
 // says whether the fleet may make it, and counts it.
-func (p Plan) Next(e End, at Progress, takeBudget func() bool) Step {
+func (p Policy) Next(e Result, at Progress, takeBudget func() bool) Step {
 	if e.Answered && !e.Failed && !e.NotRun {
-		return Answer
+		return Respond
 	}
 	unknown := !e.Answered && !e.Unsent
-	retryable := e.Unsent || e.NotRun || p.Repeatable && at.Ran < p.Most
+	retryable := e.Unsent || e.NotRun || p.Repeatable && at.Ran < p.MaxAttempts
 	switch {
-	case at.CallerLeft && (p.Repeatable || at.Ran == 0):
-		return Gone
-	case retryable && p.canRetry(at) && (e.Unsent || !p.Sole && takeBudget()):
-		return Again
+	case at.CallerGone && (p.Repeatable || at.Ran == 0):
+		return Canceled
+	case retryable && p.canRetry(at) && (e.Unsent || !p.SingleTarget && takeBudget()):
+		return Retry
 	case unknown:
 		return Unknown
 	case e.Unsent, e.NotRun:
 		return NotRun
 	}
-	return Answer
+	return Respond
 }
 
 // canRetry says whether another attempt can be made, and be in time.
-func (p Plan) canRetry(at Progress) bool {
-	return !p.Streamed && !at.Ending && at.Tried < MaxTried && float64(at.Left) >= minTimeShare*float64(at.Usual)
+func (p Policy) canRetry(at Progress) bool {
+	return !p.Streamed && !at.Stopping && at.Tried < MaxTargets && float64(at.TimeLeft) >= minTimeShare*float64(at.TypicalTime)
 }
 
-// Hedges says whether a second attempt may run beside the first.
-func (p Plan) Hedges(ran int) bool {
-	return p.Repeatable && !p.Streamed && !p.Sole && ran+1 < p.Most
+// CanHedge says whether a second attempt may run beside the first.
+func (p Policy) CanHedge(ran int) bool {
+	return p.Repeatable && !p.Streamed && !p.SingleTarget && ran+1 < p.MaxAttempts
 }
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -13,9 +13,9 @@
 func never() bool  { return false }
 
 var (
-	once       = attempt.Plan{Most: 3}
-	repeatable = attempt.Plan{Repeatable: true, Most: 2}
-	plenty     = attempt.Progress{Tried: 1, Left: 3000, Usual: 300}
+	once       = attempt.Policy{MaxAttempts: 3}
+	repeatable = attempt.Policy{Repeatable: true, MaxAttempts: 2}
+	plenty     = attempt.Progress{Tried: 1, TimeLeft: 3000, TypicalTime: 300}
 )
 
 // with returns the progress with one thing changed.
@@ -27,39 +27,39 @@
 
 func TestNext(t *testing.T) {
 	ran := with(func(p *attempt.Progress) { p.Ran = 1 })
-	failed := attempt.End{Answered: true, Failed: true}
-	shed := attempt.End{Answered: true, Failed: true, NotRun: true}
-	unsent, lost := attempt.End{Unsent: true}, attempt.End{}
+	failed := attempt.Result{Answered: true, Failed: true}
+	shed := attempt.Result{Answered: true, Failed: true, NotRun: true}
+	unsent, lost := attempt.Result{Unsent: true}, attempt.Result{}
 	cases := []struct {
 		name string
-		plan attempt.Plan
-		end  attempt.End
+		plan attempt.Policy
+		end  attempt.Result
 		at   attempt.Progress
 		more func() bool
 		want attempt.Step
 	}{
-		{"a good answer", once, attempt.End{Answered: true}, ran, always, attempt.Answer},
-		{"a failure of a run-once request", once, failed, ran, always, attempt.Answer},
-		{"a failure of a repeatable one", repeatable, failed, ran, always, attempt.Again},
-		{"the same beyond the budget", repeatable, failed, ran, never, attempt.Answer},
-		{"the same after all its attempts", repeatable, failed, with(func(p *attempt.Progress) { p.Ran = 2 }), always, attempt.Answer},
-		{"run once, turned away", once, shed, plenty, always, attempt.Again},
+		{"a good answer", once, attempt.Result{Answered: true}, ran, always, attempt.Respond},
+		{"a failure of a run-once request", once, failed, ran, always, attempt.Respond},
+		{"a failure of a repeatable one", repeatable, failed, ran, always, attempt.Retry},
+		{"the same beyond the budget", repeatable, failed, ran, never, attempt.Respond},
+		{"the same after all its attempts", repeatable, failed, with(func(p *attempt.Progress) { p.Ran = 2 }), always, attempt.Respond},
+		{"run once, turned away", once, shed, plenty, always, attempt.Retry},
 		{"turned away beyond the budget", once, shed, plenty, never, attempt.NotRun},
 		{"turned away by six", once, shed, with(func(p *attempt.Progress) { p.Tried = 6 }), always, attempt.NotRun},
-		{"no connection costs no budget", once, unsent, plenty, never, attempt.Again},
-		{"no connection, no time", once, unsent, with(func(p *attempt.Progress) { p.Left = 100 }), always, attempt.NotRun},
+		{"no connection costs no budget", once, unsent, plenty, never, attempt.Retry},
+		{"no connection, no time", once, unsent, with(func(p *attempt.Progress) { p.TimeLeft = 100 }), always, attempt.NotRun},
 		{"run once, no answer", once, lost, ran, always, attempt.Unknown},
-		{"repeatable, no answer, the node ends", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.Ending = 1, true }), always, attempt.Unknown},
-		{"turned away, the node ends", once, shed, with(func(p *attempt.Progress) { p.Ending = true }), always, attempt.NotRun},
-		{"repeatable, no answer", repeatable, lost, ran, always, attempt.Again},
-		{"repeatable, no answer, no time", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.Left = 1, 100 }), always, attempt.Unknown},
-		{"a body that was read cannot be sent again", attempt.Plan{Streamed: true, Most: 3}, shed, plenty, always, attempt.NotRun},
-		{"one target only: turned away", attempt.Plan{Repeatable: true, Most: 3, Sole: true}, shed, plenty, always, attempt.NotRun},
-		{"one target only: no answer", attempt.Plan{Repeatable: true, Most: 3, Sole: true}, lost, ran, always, attempt.Unknown},
-		{"one target only: no connection", attempt.Plan{Repeatable: true, Most: 3, Sole: true}, unsent, plenty, always, attempt.Again},
-		{"the caller of a repeatable request left", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerLeft = 1, true }), always, attempt.Gone},
-		{"the caller of a run-once request left, it ran", once, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerLeft = 1, true }), always, attempt.Unknown},
-		{"the caller of a run-once request left, it did not run", once, unsent, with(func(p *attempt.Progress) { p.CallerLeft = true }), always, attempt.Gone},
+		{"repeatable, no answer, the node ends", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.Stopping = 1, true }), always, attempt.Unknown},
+		{"turned away, the node ends", once, shed, with(func(p *attempt.Progress) { p.Stopping = true }), always, attempt.NotRun},
+		{"repeatable, no answer", repeatable, lost, ran, always, attempt.Retry},
+		{"repeatable, no answer, no time", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.TimeLeft = 1, 100 }), always, attempt.Unknown},
+		{"a body that was read cannot be sent again", attempt.Policy{Streamed: true, MaxAttempts: 3}, shed, plenty, always, attempt.NotRun},
+		{"one target only: turned away", attempt.Policy{Repeatable: true, MaxAttempts: 3, SingleTarget: true}, shed, plenty, always, attempt.NotRun},
+		{"one target only: no answer", attempt.Policy{Repeatable: true, MaxAttempts: 3, SingleTarget: true}, lost, ran, always, attempt.Unknown},
+		{"one target only: no connection", attempt.Policy{Repeatable: true, MaxAttempts: 3, SingleTarget: true}, unsent, plenty, always, attempt.Retry},
+		{"the caller of a repeatable request left", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerGone = 1, true }), always, attempt.Canceled},
+		{"the caller of a run-once request left, it ran", once, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerGone = 1, true }), always, attempt.Unknown},
+		{"the caller of a run-once request left, it did not run", once, unsent, with(func(p *attempt.Progress) { p.CallerGone = true }), always, attempt.Canceled},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -72,15 +72,15 @@
 // TestRunOnceIsNeverTriedAgainAfterItMayHaveRun goes through all that can be said of an attempt.
 func TestRunOnceIsNeverTriedAgainAfterItMayHaveRun(t *testing.T) {
 	for bits := range 16 {
-		e := attempt.End{Answered: bits&1 > 0, Failed: bits&2 > 0, NotRun: bits&4 > 0, Unsent: bits&8 > 0}
+		e := attempt.Result{Answered: bits&1 > 0, Failed: bits&2 > 0, NotRun: bits&4 > 0, Unsent: bits&8 > 0}
 		if e.NotRun && !e.Answered || e.Unsent && e.Answered {
 			continue // cannot be
 		}
 		for _, left := range []clock.Millis{0, 3000} {
 			for _, more := range []func() bool{always, never} {
-				at := with(func(p *attempt.Progress) { p.Left = left })
+				at := with(func(p *attempt.Progress) { p.TimeLeft = left })
 				step := once.Next(e, at, more)
-				if may := e.Unsent || e.NotRun; !may && (step == attempt.Again || step == attempt.NotRun) {
+				if may := e.Unsent || e.NotRun; !may && (step == attempt.Retry || step == attempt.NotRun) {
 					t.Errorf("%+v: %v", e, step)
 				}
 			}
@@ -91,15 +91,15 @@
 // TestBudgetIsAskedOnlyForWhatIsMade counts how often the budget is asked: each time counts as one attempt of the fleet.
 func TestBudgetIsAskedOnlyForWhatIsMade(t *testing.T) {
 	for _, c := range []struct {
-		end  attempt.End
+		end  attempt.Result
 		at   attempt.Progress
 		want int
 	}{
-		{attempt.End{Answered: true}, plenty, 0},
-		{attempt.End{Unsent: true}, plenty, 0},
-		{attempt.End{Answered: true, Failed: true}, plenty, 1},
-		{attempt.End{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.Left = 10 }), 0},
-		{attempt.End{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.CallerLeft = true }), 0},
+		{attempt.Result{Answered: true}, plenty, 0},
+		{attempt.Result{Unsent: true}, plenty, 0},
+		{attempt.Result{Answered: true, Failed: true}, plenty, 1},
+		{attempt.Result{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.TimeLeft = 10 }), 0},
+		{attempt.Result{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.CallerGone = true }), 0},
 	} {
 		t.Run(fmt.Sprintf("%+v", c.end), func(t *testing.T) {
 			is := is.New(t)
@@ -112,7 +112,7 @@
 
 func TestHedges(t *testing.T) {
 	is := is.New(t)
-	is.True(attempt.Plan{Repeatable: true, Most: 2}.Hedges(0))
-	is.True(!attempt.Plan{Repeatable: true, Most: 2, Sole: true}.Hedges(0)) // targets crashed under it
-	is.True(!once.Hedges(0))
+	is.True(attempt.Policy{Repeatable: true, MaxAttempts: 2}.CanHedge(0))
+	is.True(!attempt.Policy{Repeatable: true, MaxAttempts: 2, SingleTarget: true}.CanHedge(0)) // targets crashed under it
+	is.True(!once.CanHedge(0))
 }
--- a/door/arrived_conn_test.go
+++ b/door/arrived_conn_test.go
@@ -21,7 +21,7 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, idle: true, answered: true}
+	c := &conn{Conn: accepted, server: &Server{}, idle: true, answered: true}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Second)))
 	const sent = "GET / HTTP/1.1\r\n"
 	_, err = io.WriteString(caller, sent)
--- a/door/arrived_test.go
+++ b/door/arrived_test.go
@@ -44,7 +44,7 @@
 		is.NoErr(err)
 		conns = append(conns, c)
 	}
-	d.Shut()
+	d.StopAccepting()
 	time.Sleep(300 * time.Millisecond) // nobody accepts
 	served := make(chan error, 1)
 	go func() { served <- d.Serve() }()
@@ -54,7 +54,7 @@
 		is.Equal(got, fmt.Sprint("answer to /", i))
 	}
 	is.True(<-served != nil) // nobody else comes in
-	is.True(d.IsShut())
+	is.True(d.AcceptStopped())
 }
 
 // Requests that had come to the machine of a node, and that it had not read yet as it hung up, were reset: a read whose
@@ -69,12 +69,12 @@
 		c, r := visit(t, address)
 		conns, readers = append(conns, c), append(readers, r)
 	}
-	eventually(t, func() bool { return d.Counts().Resting == len(conns) })
+	eventually(t, func() bool { return d.Counts().Idle == len(conns) })
 	for i, c := range conns {
 		_, err := io.WriteString(c, request(fmt.Sprint("/", i)))
 		is.NoErr(err)
 	}
-	d.HangUp()
+	d.CloseWhenIdle()
 	lost := 0
 	for i, c := range conns {
 		got, err := answer(c, readers[i])
@@ -104,7 +104,7 @@
 		is.NoErr(err)
 		is.Equal(got, "answer to /one")
 		time.Sleep(20 * time.Millisecond)
-		d.HangUp()
+		d.CloseWhenIdle()
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, request("/two")[early:])
 		got, err = answer(c, r)
--- a/door/conn.go
+++ b/door/conn.go
@@ -15,10 +15,10 @@
 // A conn is a connection of a door.
 type conn struct {
 	net.Conn
-	door        *Door
+	server      *Server
 	idleTimeout func() time.Duration
 	// framing ends reading at requests that say in two ways where they end.
-	framing framing.Watch
+	framing framing.Filter
 
 	mu sync.Mutex
 	// idle says that no request is on it, as far as has been read, and answered that one has been answered on it.
@@ -166,7 +166,7 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.door.removeConn(c)
+	c.server.removeConn(c)
 	_ = c.CloseWrite() // what has been written arrives before the reset that unread bytes cause
 	return c.Conn.Close()
 }
--- a/door/conn_test.go
+++ b/door/conn_test.go
@@ -31,7 +31,7 @@
 func TestWhatHasBeenReadTakesTheEndBack(t *testing.T) {
 	is := is.New(t)
 	x := &crossing{}
-	c := &conn{Conn: x, door: &Door{}, idle: true}
+	c := &conn{Conn: x, server: &Server{}, idle: true}
 	x.hangUp = c.closeWhenIdle
 	header := time.Now().Add(time.Second)
 	is.NoErr(c.SetReadDeadline(header))
--- a/door/door.go
+++ b/door/door.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A Door struct is a place where visitors of one kind come.
-type Door struct {
+// A Server struct is a place where visitors of one kind come.
+type Server struct {
 	name     string
 	listener *listener
 	http     *http.Server
@@ -26,21 +26,21 @@
 
 // Listen returns a door at the address that serves nobody yet. If idle is not nil it says how long a connection may
 // rest, in place of the server's own bound, which cannot change.
-func Listen(name, address string, s *http.Server, idleTimeout func() time.Duration) (*Door, error) {
+func Listen(name, address string, h *http.Server, idleTimeout func() time.Duration) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{name: name, http: s, conns: map[*conn]struct{}{}}
-	d.listener = &listener{TCPListener: l.(*net.TCPListener), door: d, idleTimeout: idleTimeout}
-	s.ConnState, s.Handler = trackState, d.handler(s.Handler)
-	return d, nil
+	s := &Server{name: name, http: h, conns: map[*conn]struct{}{}}
+	s.listener = &listener{TCPListener: l.(*net.TCPListener), server: s, idleTimeout: idleTimeout}
+	h.ConnState, h.Handler = trackState, s.handler(h.Handler)
+	return s, nil
 }
 
 // handler sends visitors away with their answers, once they are to go.
-func (d *Door) handler(h http.Handler) http.Handler {
+func (s *Server) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.keepAlivesDisabled.Load() {
+		if s.keepAlivesDisabled.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
@@ -48,78 +48,78 @@
 }
 
 // Name returns the door's name.
-func (d *Door) Name() string {
-	return d.name
+func (s *Server) Name() string {
+	return s.name
 }
 
 // Serve serves visitors until the door is shut.
-func (d *Door) Serve() error {
-	defer d.listener.closed.Store(true)
-	return d.http.Serve(d.listener)
+func (s *Server) Serve() error {
+	defer s.listener.closed.Store(true)
+	return s.http.Serve(s.listener)
 }
 
-// SendAway has visitors leave their connections after their next answers. Those that rest stay open: a request may be on
+// DisableKeepAlives has visitors leave their connections after their next answers. Those that rest stay open: a request may be on
 // its way on them.
-func (d *Door) SendAway() {
-	d.keepAlivesDisabled.Store(true)
+func (s *Server) DisableKeepAlives() {
+	s.keepAlivesDisabled.Store(true)
 }
 
-// Shut takes no further connections, but for those that visitors hold to be open. Those that are open stay.
-func (d *Door) Shut() {
-	d.listener.stopAccepting()
+// StopAccepting takes no further connections, but for those that visitors hold to be open. Those that are open stay.
+func (s *Server) StopAccepting() {
+	s.listener.stopAccepting()
 }
 
-// IsShut says whether nobody comes in any more.
-func (d *Door) IsShut() bool {
-	return d.listener.closed.Load()
+// AcceptStopped says whether nobody comes in any more.
+func (s *Server) AcceptStopped() bool {
+	return s.listener.closed.Load()
 }
 
-// HangUp ends the connections that rest, and each of the others once its answer has been written. A request of which
+// CloseWhenIdle ends the connections that rest, and each of the others once its answer has been written. A request of which
 // anything has come is answered.
-func (d *Door) HangUp() {
-	d.mu.Lock()
-	conns := slices.Collect(maps.Keys(d.conns)) // with the lock held, none of them could close until all had been hung up
-	d.mu.Unlock()
+func (s *Server) CloseWhenIdle() {
+	s.mu.Lock()
+	conns := slices.Collect(maps.Keys(s.conns)) // with the lock held, none of them could close until all had been hung up
+	s.mu.Unlock()
 	for _, c := range conns {
 		c.closeWhenIdle()
 	}
 }
 
 // Close closes the door and all its connections at once.
-func (d *Door) Close() {
-	_ = d.http.Close()
-	_ = d.listener.Close()
+func (s *Server) Close() {
+	_ = s.http.Close()
+	_ = s.listener.Close()
 }
 
 // Counts are a door's connections.
 type Counts struct {
-	// Resting connections have no request on them, as far as has been read. Busy ones have a request that has begun
+	// Idle connections have no request on them, as far as has been read. Busy ones have a request that has begun
 	// to be read, is worked on, or whose answer has not been written whole.
-	Resting, Busy int
+	Idle, Busy int
 }
 
 // Open is all of them.
 func (c Counts) Open() int {
-	return c.Resting + c.Busy
+	return c.Idle + c.Busy
 }
 
 // Open returns how many connections are open. A door that is not shut yet counts as one: somebody may be coming in.
-func (d *Door) Open() int {
-	shut := d.IsShut() // first: who came in before it was is among the connections then
-	n := d.Counts().Open()
-	if !shut {
+func (s *Server) Open() int {
+	stopped := s.AcceptStopped() // first: who came in before it was is among the connections then
+	n := s.Counts().Open()
+	if !stopped {
 		n++
 	}
 	return n
 }
 
 // Counts returns how many connections are open.
-func (d *Door) Counts() (n Counts) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for c := range d.conns {
+func (s *Server) Counts() (n Counts) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
 		if c.isIdle() {
-			n.Resting++
+			n.Idle++
 		} else {
 			n.Busy++
 		}
@@ -127,14 +127,14 @@
 	return n
 }
 
-func (d *Door) addConn(c *conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.conns[c] = struct{}{}
+func (s *Server) addConn(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns[c] = struct{}{}
 }
 
-func (d *Door) removeConn(c *conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.conns, c)
+func (s *Server) removeConn(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c)
 }
--- a/door/door_test.go
+++ b/door/door_test.go
@@ -18,7 +18,7 @@
 )
 
 // open returns a door whose requests take so long, and its address.
-func open(t *testing.T, takes time.Duration) (*door.Door, string) {
+func open(t *testing.T, takes time.Duration) (*door.Server, string) {
 	t.Helper()
 	address := emulate.Addresses(1)[0]
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +64,7 @@
 		conns = append(conns, c)
 	}
 	served := make(chan error, 1)
-	d.Shut()
+	d.StopAccepting()
 	go func() { served <- d.Serve() }()
 	for i, c := range conns {
 		got, err := answer(c, bufio.NewReader(c))
@@ -97,8 +97,8 @@
 	time.Sleep(20 * time.Millisecond)
 	_, _ = io.WriteString(atWork, request("/work"))
 	time.Sleep(20 * time.Millisecond)
-	is.Equal(d.Counts(), door.Counts{Resting: 1, Busy: 2})
-	d.HangUp()
+	is.Equal(d.Counts(), door.Counts{Idle: 1, Busy: 2})
+	d.CloseWhenIdle()
 	_, err = answer(atRest, restReader)
 	is.True(err != nil) // its end
 	_, _ = io.WriteString(halfway, request("/half")[12:])
@@ -167,8 +167,8 @@
 		ready.Wait()
 		close(begin)
 		time.Sleep(5 * time.Millisecond)
-		d.Shut()
-		d.HangUp()
+		d.StopAccepting()
+		d.CloseWhenIdle()
 		eventually(t, func() bool { return d.Counts().Open() == 0 })
 		d.Close()
 		wg.Wait()
--- a/door/hangup_test.go
+++ b/door/hangup_test.go
@@ -27,11 +27,11 @@
 // requests that came within 4 ms of the end of their connections, on a loaded machine, 283 to 1,026 had no answer.
 func TestHangUpHoldsNobodyUp(t *testing.T) {
 	is := is.New(t)
-	d := &Door{conns: map[*conn]struct{}{}}
+	d := &Server{conns: map[*conn]struct{}{}}
 	h := &held{entered: make(chan bool), free: make(chan bool)}
-	other := &conn{door: d}
-	d.addConn(&conn{Conn: h, door: d, idle: true})
-	go d.HangUp()
+	other := &conn{server: d}
+	d.addConn(&conn{Conn: h, server: d, idle: true})
+	go d.CloseWhenIdle()
 	<-h.entered
 	closed := make(chan bool)
 	go func() {
@@ -45,7 +45,7 @@
 		t.Error("a connection could not be closed while another one was hung up")
 	}
 	close(h.free)
-	is.Equal(d.Counts(), Counts{Resting: 1})
+	is.Equal(d.Counts(), Counts{Idle: 1})
 }
 
 // The end that a visitor sees came with the close of the connection, which the server gets to later than the last look.
@@ -60,7 +60,7 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, idle: true, answered: true}
+	c := &conn{Conn: accepted, server: &Server{}, idle: true, answered: true}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
 	c.closeWhenIdle()
 	_, err = c.Read(make([]byte, 100))
--- a/door/idle_test.go
+++ b/door/idle_test.go
@@ -24,7 +24,7 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, idle: true, answered: true, idleTimeout: func() time.Duration { return 10 * time.Millisecond }}
+	c := &conn{Conn: accepted, server: &Server{}, idle: true, answered: true, idleTimeout: func() time.Duration { return 10 * time.Millisecond }}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
 	const sent = "GET / HTTP/1.1\r\n"
 	_, err = io.WriteString(caller, sent)
@@ -52,7 +52,7 @@
 	is.NoErr(err) // its end
 }
 
-func openIdle(t *testing.T, idle time.Duration) (*Door, string) {
+func openIdle(t *testing.T, idle time.Duration) (*Server, string) {
 	t.Helper()
 	d, err := Listen("callers", "127.0.0.1:0", &http.Server{Handler: http.NotFoundHandler(), IdleTimeout: time.Minute}, func() time.Duration { return idle })
 	if err != nil {
--- a/door/kinds_test.go
+++ b/door/kinds_test.go
@@ -99,11 +99,11 @@
 	}
 	begun.Wait()
 	time.Sleep(5 * time.Millisecond)
-	d.SendAway()
-	d.Shut()
-	d.HangUp()
+	d.DisableKeepAlives()
+	d.StopAccepting()
+	d.CloseWhenIdle()
 	close(ends)
 	wg.Wait()
 	is.Equal(lost, map[string]int{})
-	eventually(t, func() bool { return d.Counts().Open() == 0 && d.IsShut() })
+	eventually(t, func() bool { return d.Counts().Open() == 0 && d.AcceptStopped() })
 }
--- a/door/listener.go
+++ b/door/listener.go
@@ -24,7 +24,7 @@
 // A listener notes the connections of its door.
 type listener struct {
 	*net.TCPListener
-	door        *Door
+	server      *Server
 	idleTimeout func() time.Duration
 	// closing says that it is to close once nobody waits, and late are those that it has taken in since; only Accept, which
 	// one goroutine calls, counts them.
@@ -49,8 +49,8 @@
 			if l.closing.Load() {
 				l.lateAccepts++
 			}
-			c := &conn{Conn: nc, door: l.door, idleTimeout: l.idleTimeout, idle: true}
-			l.door.addConn(c)
+			c := &conn{Conn: nc, server: l.server, idleTimeout: l.idleTimeout, idle: true}
+			l.server.addConn(c)
 			return c, nil
 		}
 		switch {
--- a/door/open_test.go
+++ b/door/open_test.go
@@ -12,7 +12,7 @@
 func TestDoorThatShutsWhileItIsCountedIsOpen(t *testing.T) {
 	is := is.New(t)
 	c := &conn{idle: true}
-	d := &Door{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
+	d := &Server{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
 	c.mu.Lock() // the count waits for it
 	counted := make(chan int)
 	go func() { counted <- d.Open() }()
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -42,8 +42,8 @@
 // the request was written.
 var ErrSent = errors.New("request may have run")
 
-// ErrBody marks failures to read the body that should have been sent. The request has not gone out whole.
-var ErrBody = errors.New("the request's body could not be read")
+// ErrRequestBody marks failures to read the body that should have been sent. The request has not gone out whole.
+var ErrRequestBody = errors.New("the request's body could not be read")
 
 // ErrNoConnection marks failures to get a connection.
 var ErrNoConnection = errors.New("no connection")
@@ -107,8 +107,8 @@
 	}
 }
 
-// Conns holds the connections to targets. It is safe for concurrent use.
-type Conns struct {
+// ConnPool holds the connections to targets. It is safe for concurrent use.
+type ConnPool struct {
 	clock  clock.Clock
 	dialer net.Dialer
 
@@ -117,16 +117,16 @@
 	dials uint64
 }
 
-// NewConns returns a Conns without connections, that gives up connecting after the time-out.
-func NewConns(c clock.Clock, timeout clock.Millis) *Conns {
-	return &Conns{clock: c, idle: map[string][]*Conn{}, dialer: net.Dialer{
+// NewConnPool returns a Conns without connections, that gives up connecting after the time-out.
+func NewConnPool(c clock.Clock, timeout clock.Millis) *ConnPool {
+	return &ConnPool{clock: c, idle: map[string][]*Conn{}, dialer: net.Dialer{
 		Timeout:         timeout.Duration(),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}}
 }
 
 // get returns an idle connection that rested no longer than the age, or a new one.
-func (p *Conns) get(ctx context.Context, address string, maxIdle clock.Millis) (c *Conn, reused bool, err error) {
+func (p *ConnPool) get(ctx context.Context, address string, maxIdle clock.Millis) (c *Conn, reused bool, err error) {
 	for {
 		c := p.takeIdle(address, maxIdle)
 		if c == nil {
@@ -148,7 +148,7 @@
 }
 
 // takeIdle takes the connection that rested the shortest.
-func (p *Conns) takeIdle(address string, maxIdle clock.Millis) *Conn {
+func (p *ConnPool) takeIdle(address string, maxIdle clock.Millis) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -164,7 +164,7 @@
 }
 
 // put keeps a connection for the next request.
-func (p *Conns) put(c *Conn) {
+func (p *ConnPool) put(c *Conn) {
 	c.idleSince = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,14 +177,14 @@
 }
 
 // Dials returns how many connections were opened.
-func (p *Conns) Dials() uint64 {
+func (p *ConnPool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// Forget closes the idle connections to the address.
-func (p *Conns) Forget(address string) {
+// CloseIdle closes the idle connections to the address.
+func (p *ConnPool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -194,8 +194,8 @@
 	}
 }
 
-// Purge closes connections that rested for as long as their targets keep them.
-func (p *Conns) Purge() {
+// CloseExpired closes connections that rested for as long as their targets keep them.
+func (p *ConnPool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
--- a/forward/header.go
+++ b/forward/header.go
@@ -24,14 +24,14 @@
 	Leaving string
 	// IDOptional says that targets may leave the id out of their answers.
 	IDOptional bool
-	// Fractions says that callers read fractions of seconds in Retry-After.
-	Fractions bool
-	// Promises says that 408, 421, 429 and 503 tell callers that a request has not run.
-	Promises bool
-	// Load reads what a target says of its own load in an answer's header; nil if targets say nothing.
-	Load func(h http.Header) (Load, bool)
-	// Forwarded says that targets are told who asked.
-	Forwarded bool
+	// FractionalRetryAfter says that callers read fractions of seconds in Retry-After.
+	FractionalRetryAfter bool
+	// NotRunStatuses says that 408, 421, 429 and 503 tell callers that a request has not run.
+	NotRunStatuses bool
+	// ParseLoad reads what a target says of its own load in an answer's header; nil if targets say nothing.
+	ParseLoad func(h http.Header) (Load, bool)
+	// SetForwarded says that targets are told who asked.
+	SetForwarded bool
 }
 
 // A Load struct is what a target says of itself: how many requests it works on, how many wait there, and
@@ -58,9 +58,9 @@
 	}
 }
 
-// DropAlike removes a header in all spellings that a target might read as the name: with another case, or with
+// DropVariants removes a header in all spellings that a target might read as the name: with another case, or with
 // underscores, which CGI-like interfaces do not tell from dashes.
-func DropAlike(h http.Header, name string) {
+func DropVariants(h http.Header, name string) {
 	for spelled := range h {
 		if strings.EqualFold(strings.ReplaceAll(spelled, "_", "-"), name) {
 			delete(h, spelled)
--- a/forward/look.go
+++ b/forward/look.go
@@ -17,48 +17,48 @@
 	probeInterval = 15 * time.Millisecond
 )
 
-// A Door is what a look at an address found.
-type Door int
+// A ProbeResult is what a look at an address found.
+type ProbeResult int
 
 // Doors.
 const (
-	// Open doors take a connection: the process that a connection broke off from lives, or another one is there already.
-	Open Door = iota
-	// Shut doors are refused by a machine that answers: no process listens there any more.
-	Shut
-	// Unseen doors do not answer in time, or cannot be reached.
-	Unseen
+	// Listening doors take a connection: the process that a connection broke off from lives, or another one is there already.
+	Listening ProbeResult = iota
+	// Refused doors are refused by a machine that answers: no process listens there any more.
+	Refused
+	// Unreachable doors do not answer in time, or cannot be reached.
+	Unreachable
 )
 
 // String returns the door's name.
-func (d Door) String() string {
-	return [...]string{"open", "shut", "unseen"}[d]
+func (r ProbeResult) String() string {
+	return [...]string{"open", "shut", "unseen"}[r]
 }
 
-// Look says whether anything listens at the address, by a connection of its own. What breaks a single connection, such as
+// Probe says whether anything listens at the address, by a connection of its own. What breaks a single connection, such as
 // a cut link or a target that closes those at rest, leaves the door open or unseen; the end of the process shuts it.
-func (p *Conns) Look(ctx context.Context, address string) (d Door) {
+func (p *ConnPool) Probe(ctx context.Context, address string) (d ProbeResult) {
 	for i := range probeAttempts {
 		if i > 0 {
 			time.Sleep(probeInterval)
 		}
-		if d = p.probeOnce(ctx, address); d != Open {
+		if d = p.probeOnce(ctx, address); d != Listening {
 			return d
 		}
 	}
 	return d
 }
 
-func (p *Conns) probeOnce(ctx context.Context, address string) Door {
+func (p *ConnPool) probeOnce(ctx context.Context, address string) ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c, err := p.dialer.DialContext(ctx, "tcp", address)
 	switch {
 	case err == nil:
 		_ = c.Close()
-		return Open
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
-		return Shut
+		return Refused
 	}
-	return Unseen
+	return Unreachable
 }
--- a/forward/look_test.go
+++ b/forward/look_test.go
@@ -14,13 +14,13 @@
 // TestLook looks at a door that is open, and at it again as its process ends: shortly after the connections are lost.
 func TestLook(t *testing.T) {
 	is := is.New(t)
-	conns := forward.NewConns(clock.NewSystem(), 200)
+	conns := forward.NewConnPool(clock.NewSystem(), 200)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := l.Addr().String()
-	is.Equal(conns.Look(context.Background(), address), forward.Open)
+	is.Equal(conns.Probe(context.Background(), address), forward.Listening)
 	time.AfterFunc(5*time.Millisecond, func() { _ = l.Close() })
-	is.Equal(conns.Look(context.Background(), address), forward.Shut)
+	is.Equal(conns.Probe(context.Background(), address), forward.Refused)
 }
 
 // TestLookThatIsGivenUp ends a look before it has found anything.
@@ -28,5 +28,5 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.Equal(forward.NewConns(clock.NewSystem(), 200).Look(ctx, "127.0.0.1:1"), forward.Unseen)
+	is.Equal(forward.NewConnPool(clock.NewSystem(), 200).Probe(ctx, "127.0.0.1:1"), forward.Unreachable)
 }
--- a/forward/send.go
+++ b/forward/send.go
@@ -22,8 +22,8 @@
 	maxDiscardedBody = 1 << 20
 )
 
-// ErrAnswer marks answers that make no sense, or belong to other requests only.
-var ErrAnswer = errors.New("answer makes no sense")
+// ErrBadResponse marks answers that make no sense, or belong to other requests only.
+var ErrBadResponse = errors.New("answer makes no sense")
 
 // A Request struct is one request as a target is to see it.
 type Request struct {
@@ -45,8 +45,8 @@
 	MaxIdle clock.Millis
 }
 
-// An Answer struct is a target's answer. If Rest is nil, Body is the whole body.
-type Answer struct {
+// An Response struct is a target's answer. If Rest is nil, Body is the whole body.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -64,26 +64,26 @@
 
 // Send makes one attempt. The error is marked with ErrSent unless no byte was written. The answer
 // is whole when Send returns, unless it has a Rest.
-func (p *Conns) Send(ctx context.Context, address string, r *Request) (a *Answer, err error) {
+func (p *ConnPool) Send(ctx context.Context, address string, r *Request) (res *Response, err error) {
 	c, reused, err := p.get(ctx, address, r.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
 	stop := c.interrupt(ctx)
 	x := &transfer{conns: p, conn: c, stop: stop, reused: reused, stream: &source{from: r.Stream}}
-	a, err = x.run(r)
+	res, err = x.run(r)
 	if err != nil {
 		stop()
 		c.Close()
 		return nil, errors.Mark(err, ErrSent)
 	}
-	a.Reused = reused
-	return a, nil
+	res.Reused = reused
+	return res, nil
 }
 
 // A transfer is one request and its answer on a connection.
 type transfer struct {
-	conns  *Conns
+	conns  *ConnPool
 	conn   *Conn
 	stop   func() bool
 	reused bool
@@ -92,13 +92,13 @@
 	writeDone chan error
 }
 
-func (x *transfer) run(r *Request) (*Answer, error) {
+func (x *transfer) run(r *Request) (*Response, error) {
 	req := x.newRequest(r)
 	x.write(req, r)
 	res, err := x.readResponse(req, r)
 	if err != nil {
 		if readErr := x.stream.readErr(); readErr != nil {
-			return nil, errors.Mark(readErr, ErrBody)
+			return nil, errors.Mark(readErr, ErrRequestBody)
 		}
 		return nil, err
 	}
@@ -174,14 +174,14 @@
 		}
 		x.conn.noReuse = true
 		if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBody)); err != nil {
-			return nil, errors.Mark(errors.Wrap(err, "pass over a stray answer"), ErrAnswer)
+			return nil, errors.Mark(errors.Wrap(err, "pass over a stray answer"), ErrBadResponse)
 		}
 		_ = res.Body.Close()
 		if res.Close {
 			break
 		}
 	}
-	return nil, errors.Wrap(ErrAnswer, "only answers to other requests came")
+	return nil, errors.Wrap(ErrBadResponse, "only answers to other requests came")
 }
 
 func (x *transfer) readFinal(req *http.Request) (*http.Response, error) {
@@ -199,26 +199,26 @@
 }
 
 // buffer reads the body, or its start if it is large.
-func (x *transfer) buffer(res *http.Response) (*Answer, error) {
-	a := &Answer{Status: res.StatusCode, Header: res.Header, Closing: res.Close, Length: -1, Trailer: res.Trailer}
-	limit := io.LimitReader(res.Body, maxBufferedBody)
+func (x *transfer) buffer(httpRes *http.Response) (*Response, error) {
+	res := &Response{Status: httpRes.StatusCode, Header: httpRes.Header, Closing: httpRes.Close, Length: -1, Trailer: httpRes.Trailer}
+	limit := io.LimitReader(httpRes.Body, maxBufferedBody)
 	var body bytes.Buffer
-	if res.ContentLength > 0 && res.ContentLength <= maxBufferedBody {
-		body.Grow(int(res.ContentLength) + bytes.MinRead)
+	if httpRes.ContentLength > 0 && httpRes.ContentLength <= maxBufferedBody {
+		body.Grow(int(httpRes.ContentLength) + bytes.MinRead)
 	}
 	n, err := body.ReadFrom(limit)
 	if err != nil {
 		return nil, errors.Wrap(err, "read answer's body")
 	}
-	a.Body = body.Bytes()
-	rest := &rest{transfer: x, res: res}
+	res.Body = body.Bytes()
+	rest := &rest{transfer: x, res: httpRes}
 	if n < maxBufferedBody {
 		rest.eof = true
 		_ = rest.Close()
-		return a, nil
+		return res, nil
 	}
-	a.Rest, a.Length = rest, res.ContentLength
-	return a, nil
+	res.Rest, res.Length = rest, httpRes.ContentLength
+	return res, nil
 }
 
 // A rest is the part of a large answer that has not been read.
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -82,11 +82,11 @@
 	}
 }
 
-func newConns() *forward.Conns {
-	return forward.NewConns(clock.NewSystem(), 200)
+func newConns() *forward.ConnPool {
+	return forward.NewConnPool(clock.NewSystem(), 200)
 }
 
-func send(t *testing.T, p *forward.Conns, s *scriptedTarget, r *forward.Request) (*forward.Answer, error) {
+func send(t *testing.T, p *forward.ConnPool, s *scriptedTarget, r *forward.Request) (*forward.Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	s := startTarget(t, okResponse("9", "a")+okResponse("8", "b")+okResponse("7", "c"))
 	_, err := send(t, newConns(), s, request("1"))
-	is.True(errors.Is(err, forward.ErrAnswer))
+	is.True(errors.Is(err, forward.ErrBadResponse))
 	is.True(errors.Is(err, forward.ErrSent))
 }
 
@@ -229,7 +229,7 @@
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	s := startTarget(t, strings.Replace(okResponse("1", "one"), "X-Id", "Keep-Alive: timeout=3\r\nX-Id", 1), okResponse("2", "two"))
-	p := forward.NewConns(c, 200)
+	p := forward.NewConnPool(c, 200)
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
 	c.Advance(2001)
@@ -242,7 +242,7 @@
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	s := startTarget(t, okResponse("1", "one"), okResponse("1", "one"))
-	p := forward.NewConns(c, 200)
+	p := forward.NewConnPool(c, 200)
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
 	c.Advance(100)
@@ -376,7 +376,7 @@
 		r.Stream = io.MultiReader(io.LimitReader(zeros{}, 1<<20), iotest.ErrReader(broken))
 		start := time.Now()
 		_, err := send(t, newConns(), s, r)
-		is.True(errors.Is(err, forward.ErrBody))
+		is.True(errors.Is(err, forward.ErrRequestBody))
 		is.True(errors.Is(err, forward.ErrSent)) // a part has gone out
 		is.True(errors.Is(err, broken))
 		is.True(time.Since(start) < 500*time.Millisecond) // the context would end in a second
--- a/framing/watch.go
+++ b/framing/watch.go
@@ -19,9 +19,9 @@
 // closes the connection. An error would reach it while it works on the request before, and end that one.
 var refusal = []byte("\x00\r\n")
 
-// A Watch struct follows the requests on one connection. The zero value is at the start of the first one. It follows what
+// A Filter struct follows the requests on one connection. The zero value is at the start of the first one. It follows what
 // the library takes; once the library has to refuse it follows nothing more, since the connection ends with that.
-type Watch struct {
+type Filter struct {
 	state     state
 	ambiguous bool
 	// refusalRead is how much has been read of what is refused.
@@ -47,7 +47,7 @@
 )
 
 // Read reads from r, up to the end of an ambiguous request's header. In its place comes what the library refuses.
-func (f *Watch) Read(r io.Reader, p []byte) (int, error) {
+func (f *Filter) Read(r io.Reader, p []byte) (int, error) {
 	if !f.ambiguous {
 		n, err := r.Read(p)
 		passed := f.scan(p[:n])
@@ -67,12 +67,12 @@
 }
 
 // Ambiguous says whether reading ended at an ambiguous request.
-func (f *Watch) Ambiguous() bool {
+func (f *Filter) Ambiguous() bool {
 	return f.ambiguous
 }
 
 // scan follows the bytes, and returns how many of them may go on.
-func (f *Watch) scan(p []byte) int {
+func (f *Filter) scan(p []byte) int {
 	i := 0
 	for i < len(p) {
 		switch f.state {
@@ -103,7 +103,7 @@
 }
 
 // nextState is what follows a body, or a chunk.
-func (f *Watch) nextState() state {
+func (f *Filter) nextState() state {
 	if f.state == inChunk {
 		return afterChunk
 	}
@@ -111,7 +111,7 @@
 }
 
 // endLine takes the rest of a line, without its LF.
-func (f *Watch) endLine(rest []byte) {
+func (f *Filter) endLine(rest []byte) {
 	line := rest
 	if len(f.line) > 0 {
 		line = append(f.line, rest...)
@@ -134,7 +134,7 @@
 }
 
 // endHeader goes on to what the header says comes next.
-func (f *Watch) endHeader(h head) {
+func (f *Filter) endHeader(h head) {
 	chunked := h.codings == 1 && strings.EqualFold(h.coding, "chunked")
 	switch {
 	case h.http2:
@@ -152,7 +152,7 @@
 	}
 }
 
-func (f *Watch) startBody(length string) {
+func (f *Filter) startBody(length string) {
 	n, err := strconv.ParseUint(length, 10, 63)
 	switch {
 	case err != nil:
@@ -163,7 +163,7 @@
 }
 
 // startChunk takes the line before a chunk.
-func (f *Watch) startChunk(line []byte, strict bool) {
+func (f *Filter) startChunk(line []byte, strict bool) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 64)
 	switch {
--- a/framing/watch_test.go
+++ b/framing/watch_test.go
@@ -27,7 +27,7 @@
 
 // watched reads all through a Watch.
 type watched struct {
-	watch framing.Watch
+	watch framing.Filter
 	r     io.Reader
 }
 
@@ -148,7 +148,7 @@
 
 type conn struct {
 	net.Conn
-	watch framing.Watch
+	watch framing.Filter
 }
 
 func (c *conn) Read(p []byte) (int, error) {
@@ -222,7 +222,7 @@
 	sent := []byte(post + strings.Repeat("X-Some-Name: some-value\r\n", 10) + five + "\r\nhello")
 	r := bytes.NewReader(sent)
 	buf := make([]byte, 4<<10)
-	w := framing.Watch{}
+	w := framing.Filter{}
 	for b.Loop() {
 		r.Reset(sent)
 		if _, err := w.Read(r, buf); err != nil {
--- a/latency/latency.go
+++ b/latency/latency.go
@@ -19,9 +19,9 @@
 	minSamples = 20
 )
 
-// A Track struct holds how long one kind of request took of late. It is safe for concurrent use. It
+// A Tracker struct holds how long one kind of request took of late. It is safe for concurrent use. It
 // takes about 4 KB of memory.
-type Track struct {
+type Tracker struct {
 	clock clock.Clock
 
 	mu          sync.Mutex
@@ -32,8 +32,8 @@
 }
 
 // New returns a track that knows nothing.
-func New(c clock.Clock) *Track {
-	return &Track{clock: c, windowStart: c.Now(), current: histogram(), total: histogram()}
+func New(c clock.Clock) *Tracker {
+	return &Tracker{clock: c, windowStart: c.Now(), current: histogram(), total: histogram()}
 }
 
 func histogram() *hdrhistogram.Histogram {
@@ -42,7 +42,7 @@
 
 // Add counts an answer that took so long. One that was not waited for to its end counts with the time
 // that it was: left out, the slow ones would be missing and what is usual would shrink.
-func (t *Track) Add(took clock.Millis) {
+func (t *Tracker) Add(took clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rotate()
@@ -52,7 +52,7 @@
 }
 
 // rotate drops what is too old.
-func (t *Track) rotate() {
+func (t *Tracker) rotate() {
 	now := t.clock.Now()
 	if now-t.windowStart < window {
 		return
@@ -66,7 +66,7 @@
 }
 
 // Quantile returns how long the share of the answers took at most, and false if too few are known.
-func (t *Track) Quantile(share float64) (clock.Millis, bool) {
+func (t *Tracker) Quantile(share float64) (clock.Millis, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rotate()
--- a/node/account.go
+++ b/node/account.go
@@ -65,11 +65,11 @@
 }
 
 // targetLoad returns what the target said of its own load.
-func (x *exchange) targetLoad(a *forward.Answer) (forward.Load, bool) {
-	if x.headers.Load == nil {
+func (x *exchange) targetLoad(a *forward.Response) (forward.Load, bool) {
+	if x.headers.ParseLoad == nil {
 		return forward.Load{}, false
 	}
-	return x.headers.Load(a.Header)
+	return x.headers.ParseLoad(a.Header)
 }
 
 // ended notes how the request ended; status 0 says that nobody was answered, and no cause that it was
--- a/node/answer.go
+++ b/node/answer.go
@@ -23,8 +23,8 @@
 }
 
 // answer passes a target's answer on. An answer that was cut is cut for the caller too.
-func (x *exchange) answer(a *forward.Answer, t ticket) {
-	if x.headers.Promises && promises[a.Status] {
+func (x *exchange) answer(a *forward.Response, t ticket) {
+	if x.headers.NotRunStatuses && promises[a.Status] {
 		discard(a)
 		x.noAnswer(errors.Newf("status %d without a word on whether the request ran", a.Status), t)
 		return
@@ -54,7 +54,7 @@
 	x.ended(a.Status, c, "")
 }
 
-func (x *exchange) writeHeader(a *forward.Answer) {
+func (x *exchange) writeHeader(a *forward.Response) {
 	forward.DropHopByHop(a.Header)
 	for _, name := range []string{HeaderOutcome, HeaderReplay, HeaderLeaving} {
 		if x.w.Header().Get(name) == "" {
@@ -117,7 +117,7 @@
 // noAnswer tells of a request that a target may have run and did not answer.
 func (x *exchange) noAnswer(err error, t ticket) {
 	t.Unsure()
-	if errors.Is(err, forward.ErrBody) {
+	if errors.Is(err, forward.ErrRequestBody) {
 		x.badBody(err, Unknown)
 		return
 	}
@@ -157,7 +157,7 @@
 // tell answers the caller with a problem, at once.
 func (x *exchange) tell(p Problem, c cause, err error) {
 	x.w.Header().Set(x.headers.RequestID, x.id)
-	p.fractions = x.headers.Fractions
+	p.fractions = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	p.Write(x.w)
 	x.node.events.failed(x.service.name, p.Outcome)
@@ -176,7 +176,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func discard(a *forward.Answer) {
+func discard(a *forward.Response) {
 	if a != nil && a.Rest != nil {
 		_ = a.Rest.Close()
 	}
--- a/node/book.go
+++ b/node/book.go
@@ -127,7 +127,7 @@
 func (w *workspace) route(r *http.Request, service string) (found *ownRoute, twice bool) {
 	path := r.URL.EscapedPath()
 	found = w.find(r, path, service)
-	resolved := reading.Resolved(r.RequestURI)
+	resolved := reading.NormalizePath(r.RequestURI)
 	return found, resolved != path && w.find(r, resolved, service) != found
 }
 
--- a/node/compares.go
+++ b/node/compares.go
@@ -22,15 +22,15 @@
 // by all of its hall that lack what it has; each gives up after 0.4 s and asks again, while the work for it goes on. Those
 // turned away ask others: what one node does for them does not grow with the fleet.
 type compares struct {
-	work *pacer.Work
+	work *pacer.Runner
 	// bytesPerMilli is how many bytes of answers the processor makes in a millisecond if it does nothing else, and
 	// linkBytesPerMilli how many the link carries.
 	bytesPerMilli, linkBytesPerMilli float64
 }
 
 func newCompares(c clock.Clock, cores, linkMbps float64) *compares {
-	part := pacer.Part{Share: compareShare, Measured: compareMeasured, Ahead: compareAhead}
-	return &compares{work: pacer.NewWork(c, part), bytesPerMilli: cores * compareBytes, linkBytesPerMilli: linkMbps * bytesPerMilliMbps}
+	part := pacer.Share{Fraction: compareShare, MeasuredFraction: compareMeasured, MaxAhead: compareAhead}
+	return &compares{work: pacer.NewRunner(c, part), bytesPerMilli: cores * compareBytes, linkBytesPerMilli: linkMbps * bytesPerMilliMbps}
 }
 
 // give makes an answer, if there is room for one, and counts its bytes: those that were made, and those that are sent.
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -157,7 +157,7 @@
 
 func (x *exchange) ask() *pool.Ask {
 	return &pool.Ask{
-		Repeatable: x.route.Repeatable, Again: x.plan().Hedges(x.ran),
+		Repeatable: x.route.Repeatable, Again: x.plan().CanHedge(x.ran),
 		Rank: x.rank(), Began: x.began, Aim: x.route.Aim, Deadline: x.deadline, Not: x.tried,
 		Bytes: x.pace.size(), Halls: x.halls,
 	}
@@ -210,7 +210,7 @@
 	t.lease.Done(e.outcome, a != nil && x.leaves(a))
 	if e.outcome == pool.Late || e.outcome == pool.Silent {
 		// The target's other connections may be silent too: one request is lost by them, not one by each.
-		x.node.conns.Forget(t.lease.Address)
+		x.node.conns.CloseIdle(t.lease.Address)
 	}
 	x.pace.learn(e, t.request, took)
 	x.node.metrics.attempt(e.outcome, took)
@@ -229,21 +229,21 @@
 }
 
 // leaves says whether the answer says that the target closes its connections.
-func (x *exchange) leaves(a *forward.Answer) bool {
+func (x *exchange) leaves(a *forward.Response) bool {
 	return a.Closing || x.headers.Leaving != "" && a.Header.Get(x.headers.Leaving) != ""
 }
 
 // notRun says whether the target says that it did not run the request.
-func (x *exchange) notRun(a *forward.Answer) bool {
+func (x *exchange) notRun(a *forward.Response) bool {
 	return x.headers.NotRun != "" && a.Header.Get(x.headers.NotRun) != "" ||
 		x.headers.Instance != "" && a.Status == http.StatusMisdirectedRequest
 }
 
 // outcome says how an attempt ended that took so long.
-func (x *exchange) outcome(ctx context.Context, a *forward.Answer, err error, l *pool.Lease, took clock.Millis) pool.Outcome {
+func (x *exchange) outcome(ctx context.Context, a *forward.Response, err error, l *pool.Lease, took clock.Millis) pool.Outcome {
 	timeout := err != nil && x.node.clock.Now() >= x.deadline-sendMargin || err == nil && a.Status == http.StatusGatewayTimeout
 	switch {
-	case errors.Is(err, forward.ErrBody):
+	case errors.Is(err, forward.ErrRequestBody):
 		return pool.Abandoned // by no fault of the target
 	case err != nil && errors.Is(context.Cause(ctx), errBeaten):
 		return x.pace.beaten(took)
@@ -272,40 +272,40 @@
 }
 
 // plan is what the request allows.
-func (x *exchange) plan() attempt.Plan {
-	return attempt.Plan{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, Most: x.route.Attempts, Sole: x.sole()}
+func (x *exchange) plan() attempt.Policy {
+	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.Attempts, SingleTarget: x.sole()}
 }
 
 // progress is how far the request has come.
 func (x *exchange) progress() attempt.Progress {
 	return attempt.Progress{
-		Ran: x.ran, Tried: len(x.tried), Left: x.deadline - x.node.clock.Now(), Usual: x.service.pool.Usual(),
-		CallerLeft: x.callerLeft(), Ending: x.node.leaving.ends(),
+		Ran: x.ran, Tried: len(x.tried), TimeLeft: x.deadline - x.node.clock.Now(), TypicalTime: x.service.pool.Usual(),
+		CallerGone: x.callerLeft(), Stopping: x.node.leaving.ends(),
 	}
 }
 
 // endOfAttempt says how an attempt ended, as far as it decides what follows.
-func (x *exchange) endOfAttempt(a *forward.Answer, err error) attempt.End {
+func (x *exchange) endOfAttempt(a *forward.Response, err error) attempt.Result {
 	if err != nil {
-		return attempt.End{Unsent: !errors.Is(err, forward.ErrSent)}
+		return attempt.Result{Unsent: !errors.Is(err, forward.ErrSent)}
 	}
-	return attempt.End{
+	return attempt.Result{
 		Answered: true, Failed: a.Status >= http.StatusInternalServerError || a.Status == http.StatusTooManyRequests, NotRun: x.notRun(a),
 	}
 }
 
 // settle answers the caller if the attempt ends the request, and says whether it did.
-func (x *exchange) settle(a *forward.Answer, err error, t ticket) bool {
+func (x *exchange) settle(a *forward.Response, err error, t ticket) bool {
 	step := x.plan().Next(x.endOfAttempt(a, err), x.progress(), x.more)
-	if step != attempt.Answer {
+	if step != attempt.Respond {
 		discard(a)
 	}
 	switch step {
-	case attempt.Again:
+	case attempt.Retry:
 		return false
-	case attempt.Answer:
+	case attempt.Respond:
 		x.answer(a, t)
-	case attempt.Gone:
+	case attempt.Canceled:
 		x.gone(t)
 	case attempt.NotRun:
 		x.giveUp(pool.ErrNoTarget, t)
--- a/node/front.go
+++ b/node/front.go
@@ -30,14 +30,14 @@
 	defer n.leaving.exit()
 	r.Header.Del(HeaderPassed)
 	r.Header.Del(HeaderCaller)
-	if no := reading.Target(r); no != nil {
+	if no := reading.CheckTarget(r); no != nil {
 		if no.Close {
 			w.Header().Set("Connection", "close")
 		}
 		n.refuse(w, r, Problem{Status: no.Status, Outcome: blank(r), Detail: no.Reason})
 		return
 	}
-	r.RequestURI = reading.Origin(r)
+	r.RequestURI = reading.OriginForm(r)
 	switch {
 	case r.URL.Path == AskPath && r.Method == http.MethodGet:
 		n.ask(w, r)
@@ -53,7 +53,7 @@
 	asked := n.clock.Now() // no later than what is taken of a limit: what is given back then is never more
 	x, problem := n.platformExchange(w, r)
 	if problem != nil {
-		problem.fractions = n.platform.Speech.Headers.Fractions
+		problem.fractions = n.platform.Speech.Headers.FractionalRetryAfter
 		n.refuse(w, r, *problem)
 		return
 	}
@@ -125,7 +125,7 @@
 	if route == nil {
 		return nil, &Problem{Status: http.StatusNotFound, Detail: "no route"}
 	}
-	if p := reading.Resolved(r.RequestURI); p != path && t.Find(r.Host, p) != route {
+	if p := reading.NormalizePath(r.RequestURI); p != path && t.Find(r.Host, p) != route {
 		return nil, &Problem{Status: http.StatusBadRequest, Detail: otherRoute}
 	}
 	if route.Fault != "" {
--- a/node/heldback.go
+++ b/node/heldback.go
@@ -11,9 +11,9 @@
 // lost looks whether a target's process has ended on which an attempt lost its connection, and tells the quarantine if
 // so. A cut link, a hang or a connection that the target closed leaves its door open or out of sight: no request is to
 // blame for these. A target that is leaving may end with requests at work.
-func (x *exchange) lost(ctx context.Context, l *pool.Lease) forward.Door {
-	door := x.node.conns.Look(ctx, l.Address)
-	if door == forward.Shut && !l.Leaving() {
+func (x *exchange) lost(ctx context.Context, l *pool.Lease) forward.ProbeResult {
+	door := x.node.conns.Probe(ctx, l.Address)
+	if door == forward.Refused && !l.Leaving() {
 		x.node.suspects.crashed(x, l.Target, l.From())
 	}
 	return door
@@ -59,7 +59,7 @@
 	t.Void()
 	x.node.metrics.heldBack()
 	x.w.Header().Set(x.headers.RequestID, x.id)
-	p.fractions = x.headers.Fractions
+	p.fractions = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	x.node.refuse(x.w, x.r, *p)
 }
--- a/node/leave.go
+++ b/node/leave.go
@@ -110,7 +110,7 @@
 	l.grace.Store(int64(n.settings().Bounds.Grace.Millis()))
 	l.begun.Store(true)
 	for _, d := range n.doors {
-		d.SendAway()
+		d.DisableKeepAlives()
 	}
 	n.log.WithFields(logrus.Fields{"event": "leaving", "node": n.self.Node, "grace_ms": l.plan().Grace, "in_flight": l.busy.Load()}).Warn()
 	n.sendGossip(n.members.Leave())
@@ -131,7 +131,7 @@
 // hangUp ends connections that rest, those too that began to after the last time.
 func (l *leaving) hangUp() {
 	for _, d := range l.node.doors {
-		d.HangUp()
+		d.CloseWhenIdle()
 	}
 }
 
@@ -158,7 +158,7 @@
 func (l *leaving) shut(which func(name string) bool) {
 	for _, d := range l.node.doors {
 		if which(d.Name()) {
-			d.Shut()
+			d.StopAccepting()
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	f := logrus.Fields{"event": "leaving_step", "step": s, "ms": l.elapsed(), "in_flight": l.busy.Load()}
 	for _, d := range n.doors {
 		if c := d.Counts(); c.Open() > 0 {
-			f[d.Name()+"_resting"], f[d.Name()+"_busy"] = c.Resting, c.Busy
+			f[d.Name()+"_resting"], f[d.Name()+"_busy"] = c.Idle, c.Busy
 		}
 	}
 	n.log.WithFields(f).Warn()
--- a/node/node.go
+++ b/node/node.go
@@ -89,7 +89,7 @@
 	packs    *packs
 	wire     *wire
 	peers    *peers
-	conns    *forward.Conns
+	conns    *forward.ConnPool
 	limiter  *limiter
 	quotas   *quotas
 	ledger   *once.Ledger
@@ -101,7 +101,7 @@
 	traffic  *traffic
 	suspects *suspects
 
-	doors []*door.Door
+	doors []*door.Server
 	done  chan struct{}
 }
 
@@ -114,7 +114,7 @@
 		self:    ident.Process{Node: ident.Node(s.Node.Name), Incarnation: ident.Incarnation(c.Now())},
 		keys:    newKeyring(s.Fleet.KeyBytes()),
 		metrics: newMetrics(c),
-		conns:   forward.NewConns(c, dialTimeout),
+		conns:   forward.NewConnPool(c, dialTimeout),
 		limiter: newLimiter(s.Limits.Requests),
 		configs: config.NewLog(p.Table),
 		writer:  config.NewWriter(p.Table, c),
@@ -268,7 +268,7 @@
 		start(ctx, n.receive),
 		start(ctx, n.followSettings),
 		every(ctx, tickEvery, n.tick),
-		every(ctx, purgeEvery, func(context.Context) { n.conns.Purge() }),
+		every(ctx, purgeEvery, func(context.Context) { n.conns.CloseExpired() }),
 		start(ctx, n.suspects.write),
 	}
 	for _, k := range n.watched() {
--- a/node/outgoing.go
+++ b/node/outgoing.go
@@ -129,7 +129,7 @@
 	if _, found := h["User-Agent"]; !found {
 		h["User-Agent"] = nil // keep the library from adding its own
 	}
-	if x.headers.Forwarded {
+	if x.headers.SetForwarded {
 		setForwarded(h, x.r)
 	}
 	r := x.request(h)
@@ -143,10 +143,10 @@
 // caller's key from it: a target, or whoever reads its logs, could ask in the workspace's name.
 func (x *exchange) identify(h http.Header) {
 	if x.headers.Workspace != "" {
-		forward.DropAlike(h, x.headers.Workspace)
+		forward.DropVariants(h, x.headers.Workspace)
 	}
 	if x.keyed && x.headers.Key != "" {
-		forward.DropAlike(h, x.headers.Key)
+		forward.DropVariants(h, x.headers.Key)
 	}
 	if x.workspace != nil {
 		h.Set(x.headers.Workspace, string(x.workspace.Name))
--- a/node/own.go
+++ b/node/own.go
@@ -174,7 +174,7 @@
 		return
 	}
 	x.w.Header().Set(HeaderReplay, "true")
-	x.answer(&forward.Answer{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
+	x.answer(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
 }
 
 // homeDoor returns the process's door for peers, if the process is known to live.
--- a/node/pace.go
+++ b/node/pace.go
@@ -11,7 +11,7 @@
 
 // A pace is how long the requests of one route take at one service, and how large they are.
 type pace struct {
-	track *latency.Track
+	track *latency.Tracker
 
 	mu    sync.Mutex
 	bytes float64
--- a/node/race.go
+++ b/node/race.go
@@ -24,11 +24,11 @@
 // An end is how one attempt ended.
 type end struct {
 	lease   *pool.Lease
-	answer  *forward.Answer
+	answer  *forward.Response
 	err     error
 	outcome pool.Outcome
 	// door is what was found at the target's address after a connection was lost.
-	door forward.Door
+	door forward.ProbeResult
 }
 
 // A try is one attempt before it is made.
@@ -48,14 +48,14 @@
 // race makes an attempt, and a second one beside it if the first takes long and the request may be
 // repeated. The first good answer wins; the other attempt is ended. If none is good it returns the one
 // that ended last.
-func (x *exchange) race(ctx context.Context, l *pool.Lease) (*forward.Answer, error) {
+func (x *exchange) race(ctx context.Context, l *pool.Lease) (*forward.Response, error) {
 	if !x.mayHedge() {
 		e := x.attempt(ctx, x.next(l))
 		x.count(e)
 		x.used = e.lease
 		return e.answer, e.err
 	}
-	r := &runners{exchange: x, ends: make(chan end, attempt.MaxTried)}
+	r := &runners{exchange: x, ends: make(chan end, attempt.MaxTargets)}
 	r.start(ctx, l)
 	patience := time.NewTimer(x.pace.patience(l.Usual()).Duration())
 	defer patience.Stop()
@@ -82,7 +82,7 @@
 
 // mayHedge says whether two attempts of the request may run at once.
 func (x *exchange) mayHedge() bool {
-	return x.plan().Hedges(x.ran) && x.service.pool.Hedges()
+	return x.plan().CanHedge(x.ran) && x.service.pool.Hedges()
 }
 
 // hedge returns a lease for a second attempt, or nil if no slot is free or the budget is needed for
--- a/node/raw_fuzz_test.go
+++ b/node/raw_fuzz_test.go
@@ -100,7 +100,7 @@
 
 // isSeenAs says whether a target may see the request so.
 func (r *strictRequest) isSeenAs(s standin.Seen) bool {
-	target := reading.Origin(&http.Request{RequestURI: r.target})
+	target := reading.OriginForm(&http.Request{RequestURI: r.target})
 	ids := r.values("X-Request-Id")
 	named := len(ids) > 0 && s.ID == ids[0]
 	return r.method == s.Method && target == s.Path && r.body == s.Body && (named || madeUp.MatchString(s.ID)) &&
--- a/node/records.go
+++ b/node/records.go
@@ -279,7 +279,7 @@
 	if t.life == was.life {
 		return t
 	}
-	r.node.conns.Forget(was.address)
+	r.node.conns.CloseIdle(was.address)
 	r.node.log.WithFields(logrus.Fields{
 		"event": "target_reborn", "target": t.id, "service": t.service, "address": t.address, "life": t.life, "was": was.life,
 	}).Warn()
--- a/node/speech.go
+++ b/node/speech.go
@@ -59,7 +59,7 @@
 // ownHeaders are those of the fleet's own interface.
 var ownHeaders = forward.Headers{
 	RequestID: HeaderRequestID, Deadline: HeaderDeadline, NotRun: HeaderNotRun, Leaving: HeaderLeaving,
-	IDOptional: true, Forwarded: true,
+	IDOptional: true, SetForwarded: true,
 }
 
 // ownRequest are the headers of the fleet's own interface that say what a request is.
--- a/pacer/work.go
+++ b/pacer/work.go
@@ -15,34 +15,34 @@
 	maxSlowdown = 20
 )
 
-// Part says what part of the processor a kind of work may take.
-type Part struct {
-	// Share is the part of the processor's time.
-	Share float64
-	// Measured is the part of a job's time that is spent within Do.
-	Measured float64
-	// Ahead is how much may be promised ahead.
-	Ahead clock.Millis
+// Share says what part of the processor a kind of work may take.
+type Share struct {
+	// Fraction is the part of the processor's time.
+	Fraction float64
+	// MeasuredFraction is the part of a job's time that is spent within Do.
+	MeasuredFraction float64
+	// MaxAhead is how much may be promised ahead.
+	MaxAhead clock.Millis
 }
 
-// A Work struct does jobs of one kind, one at a time, and no more of them than its part of the processor allows. It is safe
+// A Runner struct does jobs of one kind, one at a time, and no more of them than its part of the processor allows. It is safe
 // for concurrent use.
-type Work struct {
+type Runner struct {
 	clock clock.Clock
-	part  Part
+	share Share
 	pacer *Pacer
 
 	mu sync.Mutex
 }
 
-// NewWork returns the work of one kind.
-func NewWork(c clock.Clock, p Part) *Work {
-	return &Work{clock: c, part: p, pacer: New(c, p.Ahead)}
+// NewRunner returns the work of one kind.
+func NewRunner(c clock.Clock, s Share) *Runner {
+	return &Runner{clock: c, share: s, pacer: New(c, s.MaxAhead)}
 }
 
 // Do does the job if there is room for it. The job returns how long it takes on an idle processor, in milliseconds; where
 // it took longer, that counts.
-func (w *Work) Do(job func() (millis float64)) (done bool) {
+func (w *Runner) Do(job func() (millis float64)) (done bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.pacer.Admits() {
@@ -50,8 +50,8 @@
 	}
 	start := w.clock.Now()
 	estimate := job()
-	took := float64(w.clock.Now()-start) / w.part.Measured
+	took := float64(w.clock.Now()-start) / w.share.MeasuredFraction
 	counts := min(max(estimate, took), maxSlowdown*estimate)
-	w.pacer.Charge(min(counts/w.part.Share, float64(maxChargePerJob)))
+	w.pacer.Charge(min(counts/w.share.Fraction, float64(maxChargePerJob)))
 	return true
 }
--- a/pacer/work_test.go
+++ b/pacer/work_test.go
@@ -16,7 +16,7 @@
 		span     = 20 * clock.Second
 		estimate = 23.0
 	)
-	part := pacer.Part{Share: 0.25, Measured: 0.2, Ahead: 100}
+	part := pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100}
 	cases := []struct {
 		name string
 		// within is how long a job takes within Do, in milliseconds.
@@ -32,16 +32,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := clock.NewManual(1000)
-			w := pacer.NewWork(m, part)
+			w := pacer.NewRunner(m, part)
 			done := 0
 			for end := m.Now() + span; m.Now() < end; m.Advance(1) {
 				if w.Do(func() float64 { m.Advance(c.within); return estimate }) {
 					done++
 				}
 			}
-			whole := float64(c.within) / part.Measured
+			whole := float64(c.within) / part.MeasuredFraction
 			t.Logf("%d jobs of %.0f ms in %d ms", done, whole, span)
-			is.True(float64(done)*whole <= part.Share*float64(span)+float64(part.Ahead)+2*whole)
+			is.True(float64(done)*whole <= part.Fraction*float64(span)+float64(part.MaxAhead)+2*whole)
 			is.True(done >= c.least)
 		})
 	}
@@ -51,7 +51,7 @@
 func TestOneJobThatStandsStillStopsNoOthers(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
-	w := pacer.NewWork(m, pacer.Part{Share: 0.25, Measured: 0.2, Ahead: 100})
+	w := pacer.NewRunner(m, pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100})
 	job := func() float64 { return 23 }
 	is.True(w.Do(func() float64 { m.Advance(clock.Minute); return 23 }))
 	is.True(!w.Do(job))
@@ -64,7 +64,7 @@
 func TestSmallJobsThatAreInterruptedStopNoOthers(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
-	w := pacer.NewWork(m, pacer.Part{Share: 0.25, Measured: 0.2, Ahead: 100})
+	w := pacer.NewRunner(m, pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100})
 	for range 100 {
 		is.True(w.Do(func() float64 { m.Advance(20); return 0.1 }))
 	}
--- a/proof/replay_test.go
+++ b/proof/replay_test.go
@@ -166,24 +166,24 @@
 }
 
 // send has a node make one attempt.
-func (p *player) send(ctx context.Context, node int, k replayKind, l *pool.Lease, o turn, r *rand.Rand) (attempt.End, pool.Outcome) {
+func (p *player) send(ctx context.Context, node int, k replayKind, l *pool.Lease, o turn, r *rand.Rand) (attempt.Result, pool.Outcome) {
 	t := p.targets[l.Target]
 	if e := p.hits("cut", l.Target); e != nil && float64(node) < e.Nodes*float64(p.Nodes) || p.hits("crash", l.Target) != nil {
 		time.Sleep(120 * time.Millisecond)
-		return attempt.End{Unsent: true}, pool.Unreachable
+		return attempt.Result{Unsent: true}, pool.Unreachable
 	}
 	if e := p.hits("shed", l.Target); e != nil && r.Float64() < e.X {
-		return attempt.End{Answered: true, Failed: true, NotRun: true}, pool.Shed
+		return attempt.Result{Answered: true, Failed: true, NotRun: true}, pool.Shed
 	}
 	if ctx.Err() != nil {
-		return attempt.End{}, pool.Late // of two things at once a select takes either
+		return attempt.Result{}, pool.Late // of two things at once a select takes either
 	}
 	select {
 	case t.slots <- struct{}{}:
 		defer func() { <-t.slots }()
 	case <-ctx.Done():
 		o.take()
-		return attempt.End{}, pool.Late
+		return attempt.Result{}, pool.Late
 	}
 	o.take()
 	fails := p.errorRate
@@ -195,7 +195,7 @@
 	}
 	if r.Float64() < fails {
 		time.Sleep(3 * time.Millisecond)
-		return attempt.End{Answered: true, Failed: true}, pool.Failed
+		return attempt.Result{Answered: true, Failed: true}, pool.Failed
 	}
 	takes := k.Takes
 	if e := p.hits("slow", l.Target); e != nil {
@@ -207,12 +207,12 @@
 	case <-work.C:
 	case <-ctx.Done():
 		o.take()
-		return attempt.End{}, pool.Late
+		return attempt.Result{}, pool.Late
 	}
 	if e := p.hits("lost", l.Target); e != nil && r.Float64() < e.X || p.hits("crash", l.Target) != nil {
-		return attempt.End{}, pool.Silent
+		return attempt.Result{}, pool.Silent
 	}
-	return attempt.End{Answered: true}, pool.Good
+	return attempt.Result{Answered: true}, pool.Good
 }
 
 // request has a node serve a request as the daemon does, but for hedges.
@@ -226,12 +226,12 @@
 	ctx, cancel := context.WithTimeout(alive, k.Deadline.Duration()+lateInTurn)
 	defer cancel()
 	pl.Budget().First()
-	plan := attempt.Plan{Repeatable: k.Repeatable, Most: k.Attempts}
-	at := attempt.Progress{Left: k.Deadline}
+	plan := attempt.Policy{Repeatable: k.Repeatable, MaxAttempts: k.Attempts}
+	at := attempt.Progress{TimeLeft: k.Deadline}
 	now := clock.NewSystem().Now()
 	ask := &pool.Ask{Repeatable: k.Repeatable, Rank: k.Rank, Began: now, Aim: k.Aim, Deadline: now + k.Deadline}
 	for {
-		ask.Again = plan.Hedges(at.Ran)
+		ask.Again = plan.CanHedge(at.Ran)
 		l, err := pl.Acquire(ctx, ask)
 		o.take()
 		if err != nil {
@@ -241,13 +241,13 @@
 		ask.Not = append(ask.Not, l.Target)
 		end, out := p.send(ctx, node, k, l, o, r)
 		l.Done(out, false)
-		at.Tried, at.Left, at.Usual = len(ask.Not), k.Deadline-clock.FromDuration(time.Since(began)), pl.Usual()
+		at.Tried, at.TimeLeft, at.TypicalTime = len(ask.Not), k.Deadline-clock.FromDuration(time.Since(began)), pl.Usual()
 		if out != pool.Unreachable && out != pool.Shed {
 			at.Ran++
 		}
 		step := plan.Next(end, at, pl.Budget().More)
 		switch {
-		case step == attempt.Again:
+		case step == attempt.Retry:
 			o.take()
 			continue
 		case end.Answered && !end.Failed:
--- a/reading/body.go
+++ b/reading/body.go
@@ -22,7 +22,7 @@
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.r.Body.Read(p)
-	if errors.Is(err, io.EOF) && !FieldsSound(b.r.Trailer) {
+	if errors.Is(err, io.EOF) && !ValidFields(b.r.Trailer) {
 		return n, ErrTrailer
 	}
 	return n, err
--- a/reading/fields.go
+++ b/reading/fields.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// FieldsSound says whether all names are tokens, and all values free of control characters (RFC 9110, 5.1 and 5.5). The
+// ValidFields says whether all names are tokens, and all values free of control characters (RFC 9110, 5.1 and 5.5). The
 // library checks headers, but no trailers.
-func FieldsSound(h http.Header) bool {
+func ValidFields(h http.Header) bool {
 	for name, values := range h {
 		if !isToken(name) {
 			return false
--- a/reading/target.go
+++ b/reading/target.go
@@ -15,8 +15,8 @@
 	Close bool
 }
 
-// Target returns a refusal of requests whose target or host cannot be passed on as one that every reader takes alike.
-func Target(r *http.Request) *Refusal {
+// CheckTarget returns a refusal of requests whose target or host cannot be passed on as one that every reader takes alike.
+func CheckTarget(r *http.Request) *Refusal {
 	uri := r.RequestURI
 	switch {
 	case r.Method == http.MethodConnect:
@@ -42,9 +42,9 @@
 	return strings.Trim(port, "0123456789") == ""
 }
 
-// Origin returns the request's path and query as the caller wrote them, without a scheme and host before them
+// OriginForm returns the request's path and query as the caller wrote them, without a scheme and host before them
 // (RFC 9112, 3.2.1).
-func Origin(r *http.Request) string {
+func OriginForm(r *http.Request) string {
 	_, rest, found := strings.Cut(r.RequestURI, "://")
 	if strings.HasPrefix(r.RequestURI, "/") || !found {
 		return r.RequestURI
@@ -59,11 +59,11 @@
 	return rest[i:]
 }
 
-// Resolved returns the path of a target in origin form as a reader may understand it that decodes letters, and resolves
+// NormalizePath returns the path of a target in origin form as a reader may understand it that decodes letters, and resolves
 // dots and empty segments (RFC 3986, 6.2.2). A path with dots is read in the laxest way: encoded slashes and backslashes
 // part it too. If it leads to another route than the path as it stands, a target could run what the route's caller may
 // not ask.
-func Resolved(origin string) string {
+func NormalizePath(origin string) string {
 	p, _, _ := strings.Cut(origin, "?")
 	if isPlain(p) {
 		return p
--- a/reading/target_test.go
+++ b/reading/target_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(c.line+" "+c.host, func(t *testing.T) {
 			is := is.New(t)
-			no := reading.Target(request(t, c.line, c.host))
+			no := reading.CheckTarget(request(t, c.line, c.host))
 			is.Equal(no != nil, c.status != 0)
 			is.True(no == nil || no.Status == c.status)
 		})
@@ -56,7 +56,7 @@
 	} {
 		t.Run(uri, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(reading.Origin(request(t, "GET "+uri, "h")), want)
+			is.Equal(reading.OriginForm(request(t, "GET "+uri, "h")), want)
 		})
 	}
 }
@@ -73,7 +73,7 @@
 	} {
 		t.Run(origin, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(reading.Resolved(origin), want)
+			is.Equal(reading.NormalizePath(origin), want)
 		})
 	}
 }
@@ -88,9 +88,9 @@
 			return
 		}
 		is := is.New(t)
-		got := reading.Resolved(s)
+		got := reading.NormalizePath(s)
 		is.True(strings.HasPrefix(got, "/"))
-		is.Equal(reading.Resolved(got), got)
+		is.Equal(reading.NormalizePath(got), got)
 		for segment := range strings.SplitSeq(strings.Trim(got, "/"), "/") {
 			is.True(segment != ".." && segment != "." && (segment != "" || got == "/"))
 		}
@@ -102,6 +102,6 @@
 // BenchmarkResolved is what each request pays: 55 to 65 ns for a plain path of 22 bytes.
 func BenchmarkResolved(b *testing.B) {
 	for b.Loop() {
-		resolved = reading.Resolved("/orders/2f8a0b/items/17?fields=name")
+		resolved = reading.NormalizePath("/orders/2f8a0b/items/17?fields=name")
 	}
 }
