--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestRunOnceIsNeverTriedAgainAfterItMayHaveRun goes through all that can be said of an attempt.
-func TestRunOnceIsNeverTriedAgainAfterItMayHaveRun(t *testing.T) {
+// TestRunOnceIsNotRetriedAfterItMayHaveRun goes through all that can be said of an attempt.
+func TestRunOnceIsNotRetriedAfterItMayHaveRun(t *testing.T) {
 	for bits := range 16 {
 		e := attempt.Result{Answered: bits&1 > 0, Failed: bits&2 > 0, NotRun: bits&4 > 0, Unsent: bits&8 > 0}
 		if e.NotRun && !e.Answered || e.Unsent && e.Answered {
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestBudgetIsAskedOnlyForWhatIsMade counts how often the budget is asked: each time counts as one attempt of the fleet.
-func TestBudgetIsAskedOnlyForWhatIsMade(t *testing.T) {
+// TestBudgetIsTakenOnlyForRetries counts how often the budget is asked: each time counts as one attempt of the fleet.
+func TestBudgetIsTakenOnlyForRetries(t *testing.T) {
 	for _, c := range []struct {
 		end  attempt.Result
 		at   attempt.Progress
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestHedges(t *testing.T) {
+func TestCanHedge(t *testing.T) {
 	is := is.New(t)
 	is.True(attempt.Policy{Repeatable: true, MaxAttempts: 2}.CanHedge(0))
 	is.True(!attempt.Policy{Repeatable: true, MaxAttempts: 2, SingleTarget: true}.CanHedge(0)) // targets crashed under it
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAnyValueComesBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "base")
 		value := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "value")
@@ -75,8 +75,8 @@
 	})
 }
 
-// TestValuesAreBounded unpacks a small message that stands for a large value.
-func TestValuesAreBounded(t *testing.T) {
+// TestMaxSize unpacks a small message that stands for a large value.
+func TestMaxSize(t *testing.T) {
 	is := is.New(t)
 	packed, err := delta.Pack(nil, make([]byte, 1<<20))
 	is.NoErr(err)
--- a/door/arrived_conn_test.go
+++ b/door/arrived_conn_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestWhatHasArrivedIsReadAtTheEnd hangs up a connection on which a whole request waits to be read.
-func TestWhatHasArrivedIsReadAtTheEnd(t *testing.T) {
+// TestCloseReadsArrivedRequest hangs up a connection on which a whole request waits to be read.
+func TestCloseReadsArrivedRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/door/arrived_test.go
+++ b/door/arrived_test.go
@@ -32,7 +32,7 @@
 // A node whose process stood still for a quarter of a second around its end reset 118 requests of one stop: their
 // connections waited to be accepted, sent up to 460 ms before. The listener went by the time since it was told to close,
 // and that was over when the process ran again, before it had looked even once.
-func TestShutServesWhoHasConnectedAfterAStall(t *testing.T) {
+func TestStopAcceptingServesQueuedConnectionsAfterStall(t *testing.T) {
 	is := is.New(t)
 	d, address := open(t, 0)
 	var conns []net.Conn
@@ -59,7 +59,7 @@
 
 // Requests that had come to the machine of a node, and that it had not read yet as it hung up, were reset: a read whose
 // deadline is over does not look at what is there. The slower the node, the more of them.
-func TestHangUpAnswersWhatHasArrived(t *testing.T) {
+func TestCloseWhenIdleAnswersArrivedRequests(t *testing.T) {
 	is := is.New(t)
 	d, address := open(t, 0)
 	go func() { _ = d.Serve() }()
@@ -87,7 +87,7 @@
 }
 
 // A request may come while the one before it is at work, in part. It has been read, if not by its handler.
-func TestHangUpAnswersWhatWasReadBesideAnother(t *testing.T) {
+func TestCloseWhenIdleAnswersPipelinedRequest(t *testing.T) {
 	for _, early := range []int{1, 12} { // the library reads one byte beside a handler, or all that came with a request
 		is := is.New(t)
 		d, address := open(t, 50*time.Millisecond)
--- a/door/conn_test.go
+++ b/door/conn_test.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// TestWhatHasBeenReadTakesTheEndBack: the rest of a request is read whose first byte was, when its connection ended.
-func TestWhatHasBeenReadTakesTheEndBack(t *testing.T) {
+// TestFirstByteRestoresDeadline: the rest of a request is read whose first byte was, when its connection ended.
+func TestFirstByteRestoresDeadline(t *testing.T) {
 	is := is.New(t)
 	x := &crossing{}
 	c := &conn{Conn: x, server: &Server{}, idle: true}
--- a/door/door_test.go
+++ b/door/door_test.go
@@ -51,7 +51,7 @@
 // Callers whose connections the kernel had completed, and nobody had accepted, got a reset as a node's doors were shut,
 // with their first request already sent. Real nodes that were stopped under new connections lost 6 so on three runs, "read:
 // connection reset by peer" 1.807 and 1.812 s after SIGTERM, the moment of "doors_shut".
-func TestShutServesWhoHasConnected(t *testing.T) {
+func TestStopAcceptingServesQueuedConnections(t *testing.T) {
 	is := is.New(t)
 	d, address := open(t, 0)
 	var conns []net.Conn
@@ -76,8 +76,8 @@
 	is.True(err != nil)
 }
 
-// TestHangUpAnswersWhatItHasRead has a request half read as the door hangs up, one at work, and one connection at rest.
-func TestHangUpAnswersWhatItHasRead(t *testing.T) {
+// TestCloseWhenIdleAnswersReadRequests has a request half read as the door hangs up, one at work, and one connection at rest.
+func TestCloseWhenIdleAnswersReadRequests(t *testing.T) {
 	is := is.New(t)
 	d, address := open(t, 100*time.Millisecond)
 	go func() { _ = d.Serve() }()
@@ -116,9 +116,9 @@
 	eventually(t, func() bool { return d.Counts().Open() == 0 })
 }
 
-// TestNothingIsReadAndNotAnswered hangs up again and again while requests come on connections that rest, so that many cross
+// TestHandledRequestsAreAnswered hangs up again and again while requests come on connections that rest, so that many cross
 // the end. Each request that was handled has been answered whole; the others were never begun.
-func TestNothingIsReadAndNotAnswered(t *testing.T) {
+func TestHandledRequestsAreAnswered(t *testing.T) {
 	is := is.New(t)
 	crossed := 0 // rounds in which some came before the end, and some after
 	for round := range 10 {
--- a/door/hangup_test.go
+++ b/door/hangup_test.go
@@ -25,7 +25,7 @@
 // A connection that rests is looked at a last time and then closed; a request that comes in between is lost. A door held
 // all of its connections while it hung them up, one after the other, and none of them could be closed meanwhile. Of 8,000
 // requests that came within 4 ms of the end of their connections, on a loaded machine, 283 to 1,026 had no answer.
-func TestHangUpHoldsNobodyUp(t *testing.T) {
+func TestCloseWhenIdleReleasesLock(t *testing.T) {
 	is := is.New(t)
 	d := &Server{conns: map[*conn]struct{}{}}
 	h := &held{entered: make(chan bool), free: make(chan bool)}
@@ -49,7 +49,7 @@
 }
 
 // The end that a visitor sees came with the close of the connection, which the server gets to later than the last look.
-func TestLastLookEndsTheConnection(t *testing.T) {
+func TestIdleCloseSendsEOF(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/door/idle_test.go
+++ b/door/idle_test.go
@@ -13,7 +13,7 @@
 // A connection that rests ends when its time is over. A process that stood still across that moment found the time over and
 // a request there, and looked at the time alone: the request was reset unread. Of 400 requests sent within 200 ms to a node
 // that stood still for 2 s around the end of their connections' rest, 65 got "unexpected EOF".
-func TestWhatHasArrivedIsReadWhenTheRestIsOver(t *testing.T) {
+func TestIdleTimeoutReadsArrivedRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -37,8 +37,8 @@
 	is.True(!c.isIdle())
 }
 
-// TestRestThatIsOverEndsTheConnection: without a request there, the time alone decides.
-func TestRestThatIsOverEndsTheConnection(t *testing.T) {
+// TestIdleTimeoutClosesConnection: without a request there, the time alone decides.
+func TestIdleTimeoutClosesConnection(t *testing.T) {
 	is := is.New(t)
 	d, address := openIdle(t, 50*time.Millisecond)
 	go func() { _ = d.Serve() }()
--- a/door/kinds_test.go
+++ b/door/kinds_test.go
@@ -16,8 +16,8 @@
 	"github.com/tinladder/tinladder/emulate"
 )
 
-// TestEachKindOfRequestIsAnsweredAtTheEnd has requests of each kind begun at a door as it shuts and hangs up, many of each.
-func TestEachKindOfRequestIsAnsweredAtTheEnd(t *testing.T) {
+// TestShutdownAnswersAllKindsOfRequests has requests of each kind begun at a door as it shuts and hangs up, many of each.
+func TestShutdownAnswersAllKindsOfRequests(t *testing.T) {
 	is := is.New(t)
 	address := emulate.Addresses(1)[0]
 	s := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/door/open_test.go
+++ b/door/open_test.go
@@ -9,7 +9,7 @@
 
 // A node ends once nothing is open at its doors. Whether the door was shut was looked at after its connections had been
 // counted: a visitor who came in between, as the last one before it shut, was in neither, and the end would cut him.
-func TestDoorThatShutsWhileItIsCountedIsOpen(t *testing.T) {
+func TestOpenSeesConnectionAcceptedDuringClose(t *testing.T) {
 	is := is.New(t)
 	c := &conn{idle: true}
 	d := &Server{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
--- a/forward/look_test.go
+++ b/forward/look_test.go
@@ -11,8 +11,8 @@
 	"github.com/tinladder/tinladder/forward"
 )
 
-// TestLook looks at a door that is open, and at it again as its process ends: shortly after the connections are lost.
-func TestLook(t *testing.T) {
+// TestProbe looks at a door that is open, and at it again as its process ends: shortly after the connections are lost.
+func TestProbe(t *testing.T) {
 	is := is.New(t)
 	conns := forward.NewConnPool(clock.NewSystem(), 200)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,8 +23,8 @@
 	is.Equal(conns.Probe(context.Background(), address), forward.Refused)
 }
 
-// TestLookThatIsGivenUp ends a look before it has found anything.
-func TestLookThatIsGivenUp(t *testing.T) {
+// TestProbeCanceled ends a look before it has found anything.
+func TestProbeCanceled(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -93,7 +93,7 @@
 	return p.Send(ctx, s.address, r)
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, okResponse("1", "one"), okResponse("2", "two"), okResponse("3", "three"))
 	p := newConns()
@@ -106,8 +106,8 @@
 	is.Equal(s.accepted.Load(), int32(1))
 }
 
-// TestStrayAnswers has answers come that belong to other requests, in every place.
-func TestStrayAnswers(t *testing.T) {
+// TestUnmatchedResponses has answers come that belong to other requests, in every place.
+func TestUnmatchedResponses(t *testing.T) {
 	cases := []struct {
 		name    string
 		answers []string
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestOnlyStrayAnswersFail(t *testing.T) {
+func TestOnlyUnmatchedResponses(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, okResponse("9", "a")+okResponse("8", "b")+okResponse("7", "c"))
 	_, err := send(t, newConns(), s, request("1"))
@@ -142,7 +142,7 @@
 	is.True(errors.Is(err, forward.ErrSent))
 }
 
-func TestAnswerWithoutIDCountsOnlyIfItMay(t *testing.T) {
+func TestResponseWithoutID(t *testing.T) {
 	is := is.New(t)
 	plain := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	_, err := send(t, newConns(), startTarget(t, plain), request("1"))
@@ -154,8 +154,8 @@
 	is.Equal(string(a.Body), "hi")
 }
 
-// TestCutAnswersAreNotWhole ends answers early, in every way.
-func TestCutAnswersAreNotWhole(t *testing.T) {
+// TestTruncatedResponsesFail ends answers early, in every way.
+func TestTruncatedResponsesFail(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
 		"chunks":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsAtEOF(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it", "")
 	go func() { <-s.paths }()
@@ -197,7 +197,7 @@
 	is.True(a.Closing)
 }
 
-func TestNoConnectionIsToldApart(t *testing.T) {
+func TestDialErrorIsMarked(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -208,8 +208,8 @@
 	is.True(!errors.Is(err, forward.ErrSent))
 }
 
-// TestClosedIdleConnectionIsNotUsed has the target close a connection that rests.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// TestClosedConnectionIsNotReused has the target close a connection that rests.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, okResponse("1", "one"), "")
 	p := newConns()
@@ -225,7 +225,7 @@
 	is.Equal(string(a.Body), "one")
 }
 
-func TestKeepAliveTimeIsKept(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	s := startTarget(t, strings.Replace(okResponse("1", "one"), "X-Id", "Keep-Alive: timeout=3\r\nX-Id", 1), okResponse("2", "two"))
@@ -238,7 +238,7 @@
 	is.Equal(s.accepted.Load(), int32(2)) // a second before the target would close it
 }
 
-func TestRestedConnectionIsLeftToOthers(t *testing.T) {
+func TestMaxIdle(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	s := startTarget(t, okResponse("1", "one"), okResponse("1", "one"))
@@ -274,9 +274,9 @@
 	is.True(<-closed)
 }
 
-// TestEarlyAnswerSpoilsTheConnection has a target answer before it has read a long body: what is left
+// TestEarlyResponsePreventsReuse has a target answer before it has read a long body: what is left
 // of the body must not be followed by another request.
-func TestEarlyAnswerSpoilsTheConnection(t *testing.T) {
+func TestEarlyResponsePreventsReuse(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -316,8 +316,8 @@
 	return len(p), nil
 }
 
-// TestLargeAnswerComesInParts reads an answer that is not kept whole.
-func TestLargeAnswerComesInParts(t *testing.T) {
+// TestLargeResponseIsStreamed reads an answer that is not kept whole.
+func TestLargeResponseIsStreamed(t *testing.T) {
 	is := is.New(t)
 	const size = 1 << 20
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -350,7 +350,7 @@
 	is.Equal(p.Dials(), uint64(1))
 }
 
-func TestPathsAreWrittenAsTheyStand(t *testing.T) {
+func TestPathsAreSentVerbatim(t *testing.T) {
 	for _, path := range []string{"/", "/a%2Fb?x=%20&y", "//double/slash", "/a?", "/ä"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
@@ -364,9 +364,9 @@
 	}
 }
 
-// TestBrokenBodyEndsTheRequest has a streamed body fail on its way. The target, which waits for the rest, is not waited
+// TestBodyReadErrorEndsTheRequest has a streamed body fail on its way. The target, which waits for the rest, is not waited
 // for.
-func TestBrokenBodyEndsTheRequest(t *testing.T) {
+func TestBodyReadErrorEndsTheRequest(t *testing.T) {
 	for _, length := range []int64{-1, 32 << 20} {
 		is := is.New(t)
 		s := startTarget(t, okResponse("1", "never"))
--- a/framing/watch_test.go
+++ b/framing/watch_test.go
@@ -68,7 +68,7 @@
 	{"old with an unknown coding", "POST /a HTTP/1.0\r\nTransfer-Encoding: x\r\n\r\n", 0, true},
 }
 
-func TestWatch(t *testing.T) {
+func TestFilter(t *testing.T) {
 	for _, c := range cases {
 		for name, by := range map[string]func(io.Reader) io.Reader{
 			"whole":         func(r io.Reader) io.Reader { return r },
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestServerRefuses has the library's server read through a Watch. The requests before an ambiguous one are served to
+// TestServerRejectsAmbiguousRequest has the library's server read through a Watch. The requests before an ambiguous one are served to
 // their ends, though the server reads on while it works on them.
-func TestServerRefuses(t *testing.T) {
+func TestServerRejectsAmbiguousRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -155,10 +155,10 @@
 	return c.watch.Read(c.Conn, p)
 }
 
-// FuzzWatch reads with the library alone, and through a Watch. The Watch ends reading at the first request that the
+// FuzzFilter reads with the library alone, and through a Watch. The Watch ends reading at the first request that the
 // library takes and that is ambiguous by its raw header, and nowhere else. As its end is held back, the library may refuse
 // the one before: it wants to see an empty line behind a trailer.
-func FuzzWatch(f *testing.F) {
+func FuzzFilter(f *testing.F) {
 	for _, c := range cases {
 		f.Add([]byte(c.send))
 	}
@@ -217,8 +217,8 @@
 		len(codings) == 1 && strings.EqualFold(codings[0], "chunked") && len(lengths) > 0)
 }
 
-// BenchmarkWatch is what each request pays: a header of 10 lines and 300 bytes in one read.
-func BenchmarkWatch(b *testing.B) {
+// BenchmarkFilter is what each request pays: a header of 10 lines and 300 bytes in one read.
+func BenchmarkFilter(b *testing.B) {
 	sent := []byte(post + strings.Repeat("X-Some-Name: some-value\r\n", 10) + five + "\r\nhello")
 	r := bytes.NewReader(sent)
 	buf := make([]byte, 4<<10)
--- a/latency/latency_test.go
+++ b/latency/latency_test.go
@@ -22,8 +22,8 @@
 	is.True(q >= 85 && q <= 99)
 }
 
-// TestOldAnswersAreForgotten has a kind become slower. After half a minute only the new times count.
-func TestOldAnswersAreForgotten(t *testing.T) {
+// TestOldSamplesAreDropped has a kind become slower. After half a minute only the new times count.
+func TestOldSamplesAreDropped(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	tr := latency.New(c)
--- a/pacer/work_test.go
+++ b/pacer/work_test.go
@@ -8,10 +8,10 @@
 	"github.com/tinladder/tinladder/pacer"
 )
 
-// TestWorkKeepsToItsShare offers jobs all the time on processors of different speeds. What they take stays within the share
+// TestRunnerKeepsItsShare offers jobs all the time on processors of different speeds. What they take stays within the share
 // also where each takes many times the estimate: beside busy processes a node gave 57 large answers in 5.46 s and did
 // nothing else, since each was charged for as on an idle machine.
-func TestWorkKeepsToItsShare(t *testing.T) {
+func TestRunnerKeepsItsShare(t *testing.T) {
 	const (
 		span     = 20 * clock.Second
 		estimate = 23.0
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestOneJobThatStandsStillStopsNoOthers has a process stand still for a minute in the middle of a large job.
-func TestOneJobThatStandsStillStopsNoOthers(t *testing.T) {
+// TestStalledJobChargeIsBounded has a process stand still for a minute in the middle of a large job.
+func TestStalledJobChargeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
 	w := pacer.NewRunner(m, pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100})
@@ -59,9 +59,9 @@
 	is.True(w.Do(job))
 }
 
-// TestSmallJobsThatAreInterruptedStopNoOthers interrupts small jobs for some milliseconds each, as busy machines do. Nodes
+// TestInterruptedJobChargeIsBounded interrupts small jobs for some milliseconds each, as busy machines do. Nodes
 // that started gave each other the desired state without its targets, since the answer before had been interrupted.
-func TestSmallJobsThatAreInterruptedStopNoOthers(t *testing.T) {
+func TestInterruptedJobChargeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
 	w := pacer.NewRunner(m, pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100})
--- a/reading/target_test.go
+++ b/reading/target_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-func TestTarget(t *testing.T) {
+func TestCheckTarget(t *testing.T) {
 	for _, c := range []struct {
 		line, host string
 		status     int
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestOrigin(t *testing.T) {
+func TestOriginForm(t *testing.T) {
 	for uri, want := range map[string]string{
 		"/a?b": "/a?b", "/a?b=http://c/d": "/a?b=http://c/d", "/": "/", "//a": "//a", "/x://y/z": "/x://y/z",
 		"http://h/a%2Fb?c": "/a%2Fb?c", "http://h": "/", "http://h?a": "/?a", "http://h/?a/b": "/?a/b", "http://h//a": "//a",
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestResolved(t *testing.T) {
+func TestNormalizePath(t *testing.T) {
 	for origin, want := range map[string]string{
 		"/": "/", "/a/b": "/a/b", "/a/": "/a/", "/a?../b": "/a", "/a.b/.c/..d": "/a.b/.c/..d",
 		"//a//b/": "/a/b/", "/./a": "/a", "/a/.": "/a/", "/a/b/..": "/a/", "/a/../..": "/", "/a/../../../b": "/b", "/a/...": "/a/...",
@@ -78,8 +78,8 @@
 	}
 }
 
-// FuzzResolved resolves paths twice: what is resolved has no dots and no empty segments left.
-func FuzzResolved(f *testing.F) {
+// FuzzNormalizePath resolves paths twice: what is resolved has no dots and no empty segments left.
+func FuzzNormalizePath(f *testing.F) {
 	for _, s := range []string{"/a/../b", "/a%2F..%5c.%2e/", `/\..\.`, "//", "/%2e/é"} {
 		f.Add(s)
 	}
@@ -99,8 +99,8 @@
 
 var resolved string
 
-// BenchmarkResolved is what each request pays: 55 to 65 ns for a plain path of 22 bytes.
-func BenchmarkResolved(b *testing.B) {
+// BenchmarkNormalizePath is what each request pays: 55 to 65 ns for a plain path of 22 bytes.
+func BenchmarkNormalizePath(b *testing.B) {
 	for b.Loop() {
 		resolved = reading.NormalizePath("/orders/2f8a0b/items/17?fields=name")
 	}
