--- a/forward/conn.go
+++ b/forward/conn.go
@@ -1,5 +1,5 @@
-// Package forward sends single requests to targets and reads their answers. One request at a time
-// is on a connection, none is ever sent twice, and an answer counts only if it names the request.
+// Package forward sends single requests to targets and reads their responses. A connection carries one
+// request at a time, no request is sent twice, and a response counts only if it carries the request's id.
 package forward
 
 import (
@@ -20,21 +20,20 @@
 )
 
 const (
-	// maxHeaderBytes bounds an answer's header.
+	// maxHeaderBytes bounds a response's header.
 	maxHeaderBytes = 64 << 10
-	// readBufferSize holds a usual answer's header and the start of its body.
+	// readBufferSize holds a typical response's header and the start of its body.
 	readBufferSize = 4 << 10
 	// maxIdlePerAddress is how many idle connections are kept to one address.
 	maxIdlePerAddress = 16
-	// idleMargin is how much sooner than the target tells its idle connections are given up, for
-	// the way there and late timers.
+	// idleMargin is subtracted from the idle timeout that a target announces, to cover network delay and
+	// late timers.
 	idleMargin clock.Millis = 1000
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a connection that went silent while it rested
-	// in 4 s, before a run-once request may be lost on it.
+	// TCP keep-alive detects a dead idle connection within 4 s, before a run-once request is lost on it.
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = 1 * time.Second
 	keepAliveCount    = 2
-	// defaultIdleTimeout is how long a connection is kept whose target tells no time.
+	// defaultIdleTimeout applies to targets that announce no idle timeout.
 	defaultIdleTimeout clock.Millis = 4000
 )
 
@@ -42,22 +41,22 @@
 // the request was written.
 var ErrSent = errors.New("request may have run")
 
-// ErrRequestBody marks failures to read the body that should have been sent. The request has not gone out whole.
+// ErrRequestBody marks failures to read the request's body from its source. The request was not sent completely.
 var ErrRequestBody = errors.New("the request's body could not be read")
 
-// ErrNoConnection marks failures to get a connection.
+// ErrNoConnection marks failures to connect.
 var ErrNoConnection = errors.New("no connection")
 
-// A Conn struct is one connection to a target.
+// A Conn is a connection to a target.
 type Conn struct {
 	net       net.Conn
 	limit     *io.LimitedReader
 	reader    *bufio.Reader
 	address   string
 	idleSince clock.Millis
-	// idleTimeout is how long the target keeps the connection when it is idle.
+	// idleTimeout is how long the target keeps the connection open while it is idle.
 	idleTimeout clock.Millis
-	// noReuse connections carry no further request.
+	// noReuse is set if the connection must not carry another request.
 	noReuse bool
 }
 
@@ -66,8 +65,7 @@
 	return &Conn{net: nc, limit: limit, reader: bufio.NewReaderSize(limit, readBufferSize), address: address, idleTimeout: defaultIdleTimeout}
 }
 
-// isQuiet says that nothing has come on the idle connection: neither its end, nor bytes that nobody
-// asked for.
+// isQuiet reports whether nothing has arrived on the idle connection: neither its end nor unsolicited bytes.
 func (c *Conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -94,7 +92,7 @@
 	_ = c.net.Close()
 }
 
-// readKeepAlive takes in what the answer's header says of the connection.
+// readKeepAlive sets the idle timeout from the response's Keep-Alive header.
 func (c *Conn) readKeepAlive(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -107,7 +105,7 @@
 	}
 }
 
-// ConnPool holds the connections to targets. It is safe for concurrent use.
+// A ConnPool holds the connections to targets. It is safe for concurrent use.
 type ConnPool struct {
 	clock  clock.Clock
 	dialer net.Dialer
@@ -117,7 +115,7 @@
 	dials uint64
 }
 
-// NewConnPool returns a Conns without connections, that gives up connecting after the time-out.
+// NewConnPool returns an empty ConnPool with the given dial timeout.
 func NewConnPool(c clock.Clock, timeout clock.Millis) *ConnPool {
 	return &ConnPool{clock: c, idle: map[string][]*Conn{}, dialer: net.Dialer{
 		Timeout:         timeout.Duration(),
@@ -125,7 +123,7 @@
 	}}
 }
 
-// get returns an idle connection that rested no longer than the age, or a new one.
+// get returns a connection that has been idle for at most maxIdle, or dials a new one.
 func (p *ConnPool) get(ctx context.Context, address string, maxIdle clock.Millis) (c *Conn, reused bool, err error) {
 	for {
 		c := p.takeIdle(address, maxIdle)
@@ -147,7 +145,7 @@
 	return newConn(nc, address), false, nil
 }
 
-// takeIdle takes the connection that rested the shortest.
+// takeIdle returns the most recently used idle connection, or nil if that one is too old.
 func (p *ConnPool) takeIdle(address string, maxIdle clock.Millis) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +161,7 @@
 	return c
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool, or closes it if the pool is full or the target keeps none open.
 func (p *ConnPool) put(c *Conn) {
 	c.idleSince = p.clock.Now()
 	p.mu.Lock()
@@ -176,7 +174,7 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of dial attempts.
 func (p *ConnPool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +192,7 @@
 	}
 }
 
-// CloseExpired closes connections that rested for as long as their targets keep them.
+// CloseExpired closes connections whose idle timeout has passed.
 func (p *ConnPool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,11 +212,11 @@
 	}
 }
 
-// past is a deadline that ends all reads and writes at once.
+// past is a deadline that makes all reads and writes fail at once.
 var past = time.Unix(1, 0)
 
-// interrupt ends what waits on the connection when the context ends. The returned function must
-// be called; it reports whether the connection is unharmed.
+// interrupt makes pending reads and writes fail when ctx is done. The returned function must be called;
+// it reports whether the connection was not interrupted.
 func (c *Conn) interrupt(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(past) })
 }
