--- a/forward/header.go
+++ b/forward/header.go
@@ -6,47 +6,47 @@
 	"strings"
 )
 
-// Headers names the headers that callers and targets speak with.
+// Headers holds the names of the headers that callers and targets use, and options of their protocol.
 type Headers struct {
-	// RequestID names a request, and its answer.
+	// RequestID identifies a request and its response.
 	RequestID string
-	// Deadline is how many milliseconds an answer is still of use.
+	// Deadline is the remaining time, in milliseconds, after which a response is of no use.
 	Deadline string
-	// Instance is the only target that may run the request.
+	// Instance names the only target that may run the request.
 	Instance string
-	// Workspace tells targets in whose name a request runs. Callers cannot say so themselves.
+	// Workspace tells targets the workspace on whose behalf a request runs. Callers cannot set it.
 	Workspace string
-	// Key is where callers show the key of their workspace. It reaches no target.
+	// Key carries the API key of the caller's workspace. It is not forwarded to targets.
 	Key string
-	// NotRun is on answers of targets that did not run the request.
+	// NotRun is set on responses of targets that did not run the request.
 	NotRun string
-	// Leaving is on answers of targets that are leaving.
+	// Leaving is set on responses of targets that are shutting down.
 	Leaving string
-	// IDOptional says that targets may leave the id out of their answers.
+	// IDOptional allows responses without a request id.
 	IDOptional bool
-	// FractionalRetryAfter says that callers read fractions of seconds in Retry-After.
+	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
-	// NotRunStatuses says that 408, 421, 429 and 503 tell callers that a request has not run.
+	// NotRunStatuses says that the statuses 408, 421, 429 and 503 mean to callers that a request was not run.
 	NotRunStatuses bool
-	// ParseLoad reads what a target says of its own load in an answer's header; nil if targets say nothing.
+	// ParseLoad reads a target's load from a response's header. It is nil if targets report none.
 	ParseLoad func(h http.Header) (Load, bool)
-	// SetForwarded says that targets are told who asked.
+	// SetForwarded says that requests to targets carry Forwarded headers.
 	SetForwarded bool
 }
 
-// A Load struct is what a target says of itself: how many requests it works on, how many wait there, and
-// how many it can work on at a time.
+// Load is the load that a target reports: the requests that it is running, those queued, and the
+// number that it can run at a time.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// hopByHop headers speak of one connection, and are not passed on (RFC 9110, 7.6.1).
+// hopByHop headers concern a single connection and are not forwarded (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// DropHopByHop removes the headers that speak of one connection.
+// DropHopByHop removes the headers that concern a single connection, including those listed in Connection.
 func DropHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -58,8 +58,8 @@
 	}
 }
 
-// DropVariants removes a header in all spellings that a target might read as the name: with another case, or with
-// underscores, which CGI-like interfaces do not tell from dashes.
+// DropVariants removes a header in all spellings that a target might read as the name: with other letter
+// case, or with underscores, which CGI-like interfaces do not distinguish from dashes.
 func DropVariants(h http.Header, name string) {
 	for spelled := range h {
 		if strings.EqualFold(strings.ReplaceAll(spelled, "_", "-"), name) {
