--- a/forward/look.go
+++ b/forward/look.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// probeTimeout bounds a look: one way between halls and back, with room, and little for a caller who waits.
+	// probeTimeout covers a round trip between halls with some room; it is short since the caller waits.
 	probeTimeout = 50 * time.Millisecond
-	// probeAttempts and lookPause are how often a look is repeated where something still listens: a process that ends may
-	// lose its connections a little before its door.
+	// While something still listens, a probe is repeated: an exiting process may lose its connections
+	// shortly before its listener.
 	probeAttempts = 2
 	probeInterval = 15 * time.Millisecond
 )
 
-// A ProbeResult is what a look at an address found.
+// A ProbeResult is the state of an address.
 type ProbeResult int
 
-// Doors.
+// The probe results.
 const (
-	// Listening doors take a connection: the process that a connection broke off from lives, or another one is there already.
+	// Listening addresses accept a connection: the target process is alive or has been replaced.
 	Listening ProbeResult = iota
-	// Refused doors are refused by a machine that answers: no process listens there any more.
+	// Refused means that the host answered but no process listens there any more.
 	Refused
-	// Unreachable doors do not answer in time, or cannot be reached.
+	// Unreachable addresses do not answer in time, or have no route.
 	Unreachable
 )
 
-// String returns the door's name.
+// String returns the name that logs use.
 func (r ProbeResult) String() string {
 	return [...]string{"open", "shut", "unseen"}[r]
 }
 
-// Probe says whether anything listens at the address, by a connection of its own. What breaks a single connection, such as
-// a cut link or a target that closes those at rest, leaves the door open or unseen; the end of the process shuts it.
+// Probe reports whether anything listens at the address, using a new connection. A failure of one connection,
+// such as a cut link or an idle connection closed by the target, leaves the address Listening or Unreachable;
+// the end of the process makes it Refused.
 func (p *ConnPool) Probe(ctx context.Context, address string) (d ProbeResult) {
 	for i := range probeAttempts {
 		if i > 0 {
--- a/forward/look_test.go
+++ b/forward/look_test.go
@@ -11,7 +11,8 @@
 	"github.com/tinladder/tinladder/forward"
 )
 
-// TestProbe looks at a door that is open, and at it again as its process ends: shortly after the connections are lost.
+// A process that exits closes its listener shortly after its connections: the probe is repeated and reports
+// Refused.
 func TestProbe(t *testing.T) {
 	is := is.New(t)
 	conns := forward.NewConnPool(clock.NewSystem(), 200)
@@ -23,7 +24,6 @@
 	is.Equal(conns.Probe(context.Background(), address), forward.Refused)
 }
 
-// TestProbeCanceled ends a look before it has found anything.
 func TestProbeCanceled(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
