--- a/forward/send.go
+++ b/forward/send.go
@@ -13,57 +13,56 @@
 )
 
 const (
-	// maxBufferedBody is the largest body of an answer that is read before any of it is passed on.
+	// maxBufferedBody is the largest response body that is read completely before it is forwarded.
 	maxBufferedBody = 256 << 10
-	// maxResponses is how many answers to other requests are passed over before a connection is
-	// given up.
+	// maxResponses bounds how many responses are read while looking for the one with the request's id.
 	maxResponses = 3
-	// maxDiscardedBody bounds the body of an answer that is passed over.
+	// maxDiscardedBody bounds the body of a response to another request.
 	maxDiscardedBody = 1 << 20
 )
 
-// ErrBadResponse marks answers that make no sense, or belong to other requests only.
-var ErrBadResponse = errors.New("answer makes no sense")
+// ErrBadResponse marks responses that are malformed, or that belong to other requests.
+var ErrBadResponse = errors.New("malformed or unmatched response")
 
-// A Request struct is one request as a target is to see it.
+// A Request is a request as it is sent to a target.
 type Request struct {
 	Method string
 	// Target is the path and query, as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is a small body. Stream, if not nil, is read in its place, and Length is its length or -1.
+	// Body is a small body. If Stream is not nil, it is sent instead; Length is its length, or -1.
 	Body   []byte
 	Stream io.Reader
 	Length int64
-	// ID is what the answer must name, in the header called IDHeader.
+	// ID is the request id that the response must carry in the header IDHeader.
 	ID       string
 	IDHeader string
-	// IDOptional says that an answer may leave the id out.
+	// IDOptional allows a response without the id.
 	IDOptional bool
-	// MaxIdle is how long a connection may have rested to be used.
+	// MaxIdle is the longest time that a reused connection may have been idle.
 	MaxIdle clock.Millis
 }
 
-// An Response struct is a target's answer. If Rest is nil, Body is the whole body.
+// A Response is a target's response. If Rest is nil, Body is the complete body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Rest is what follows Body of a large answer. It must be closed.
+	// Rest is the remainder of a large body. It must be closed.
 	Rest io.ReadCloser
-	// Length is the body's length if Rest is not nil, or -1.
+	// Length is the body's length if Rest is not nil, or -1 if that is unknown.
 	Length int64
-	// Trailer follows a body in chunks, once it has been read.
+	// Trailer is filled in once a chunked body has been read.
 	Trailer http.Header
-	// Closing says that the target closes the connection after the answer.
+	// Closing says that the target closes the connection after the response.
 	Closing bool
-	// Reused says that the request went out on a connection that had rested.
+	// Reused says that the request was sent on a reused connection.
 	Reused bool
 }
 
-// Send makes one attempt. The error is marked with ErrSent unless no byte was written. The answer
-// is whole when Send returns, unless it has a Rest.
+// Send makes one attempt. The error is marked with ErrSent unless no byte was written. The response is
+// complete when Send returns, unless it has a Rest.
 func (p *ConnPool) Send(ctx context.Context, address string, r *Request) (res *Response, err error) {
 	c, reused, err := p.get(ctx, address, r.MaxIdle)
 	if err != nil {
@@ -81,14 +80,14 @@
 	return res, nil
 }
 
-// A transfer is one request and its answer on a connection.
+// A transfer is one request and its response on a connection.
 type transfer struct {
 	conns  *ConnPool
 	conn   *Conn
 	stop   func() bool
 	reused bool
 	stream *source
-	// writeDone is told how writing the request ended; nil once it is known to have ended well.
+	// writeDone receives the result of writing the request.
 	writeDone chan error
 }
 
@@ -123,7 +122,7 @@
 	return req
 }
 
-// requestURL returns a URL that is written as the target is.
+// requestURL returns a URL that is written exactly as the target.
 func requestURL(target string) *url.URL {
 	u, err := url.ParseRequestURI(target)
 	if err != nil || u.RequestURI() != target {
@@ -132,8 +131,8 @@
 	return u
 }
 
-// write sends the request. One with a body is written beside reading, since a target may answer
-// before it has read the body.
+// write sends the request. A large or streamed body is written concurrently with reading, since a target may
+// respond before it has read the body.
 func (x *transfer) write(req *http.Request, r *Request) {
 	x.writeDone = make(chan error, 1)
 	if r.Stream == nil && len(r.Body) <= readBufferSize/2 {
@@ -143,7 +142,7 @@
 	go func() {
 		err := writeBuffered(x.conn, req)
 		if x.stream.readErr() != nil {
-			// The target waits for the rest, and would until the deadline.
+			// The target would wait for the rest of the body until the deadline.
 			_ = x.conn.net.SetDeadline(past)
 		}
 		x.writeDone <- err
@@ -161,7 +160,7 @@
 	return w.Flush()
 }
 
-// readResponse returns the answer that names the request.
+// readResponse returns the response that carries the request's id.
 func (x *transfer) readResponse(req *http.Request, r *Request) (*http.Response, error) {
 	for range maxResponses {
 		res, err := x.readFinal(req)
@@ -174,22 +173,23 @@
 		}
 		x.conn.noReuse = true
 		if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBody)); err != nil {
-			return nil, errors.Mark(errors.Wrap(err, "pass over a stray answer"), ErrBadResponse)
+			return nil, errors.Mark(errors.Wrap(err, "discard the response to another request"), ErrBadResponse)
 		}
 		_ = res.Body.Close()
 		if res.Close {
 			break
 		}
 	}
-	return nil, errors.Wrap(ErrBadResponse, "only answers to other requests came")
+	return nil, errors.Wrap(ErrBadResponse, "target responded to other requests only")
 }
 
+// readFinal reads a response, skipping informational ones (1xx).
 func (x *transfer) readFinal(req *http.Request) (*http.Response, error) {
 	for {
 		x.conn.limit.N = maxHeaderBytes
 		res, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		x.conn.limit.N = math.MaxInt64
 		if res.StatusCode >= http.StatusOK {
@@ -198,7 +198,7 @@
 	}
 }
 
-// buffer reads the body, or its start if it is large.
+// buffer reads the body, or the start of a large one.
 func (x *transfer) buffer(httpRes *http.Response) (*Response, error) {
 	res := &Response{Status: httpRes.StatusCode, Header: httpRes.Header, Closing: httpRes.Close, Length: -1, Trailer: httpRes.Trailer}
 	limit := io.LimitReader(httpRes.Body, maxBufferedBody)
@@ -208,7 +208,7 @@
 	}
 	n, err := body.ReadFrom(limit)
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer's body")
+		return nil, errors.Wrap(err, "read response body")
 	}
 	res.Body = body.Bytes()
 	rest := &rest{transfer: x, res: httpRes}
@@ -221,7 +221,7 @@
 	return res, nil
 }
 
-// A rest is the part of a large answer that has not been read.
+// A rest is the unread part of a large response body.
 type rest struct {
 	transfer *transfer
 	res      *http.Response
@@ -235,7 +235,7 @@
 	return n, err
 }
 
-// Close keeps the connection for the next request if this one and its answer have ended well.
+// Close returns the connection to the pool if the request and its response were completed.
 func (r *rest) Close() error {
 	x := r.transfer
 	uninterrupted := x.stop()
@@ -258,6 +258,6 @@
 	case err := <-x.writeDone:
 		return err == nil
 	default:
-		return false // the request has not been written whole
+		return false // the request is still being written
 	}
 }
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -18,7 +18,7 @@
 	"github.com/tinladder/tinladder/forward"
 )
 
-// scriptedTarget is a target that answers each request with the next of its answers, as they stand.
+// scriptedTarget is a target that answers each request with the next of its raw responses.
 type scriptedTarget struct {
 	t        *testing.T
 	address  string
@@ -27,8 +27,8 @@
 	paths    chan string
 }
 
-// startTarget answers connection after connection. Each connection gets the answers from the first on; a
-// connection closes after an answer that is empty, or after the last one.
+// startTarget serves connections concurrently. Each connection gets the responses from the first on, and is
+// closed at an empty one. After the last response, the target waits for the client to close.
 func startTarget(t *testing.T, answers ...string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,7 +106,7 @@
 	is.Equal(s.accepted.Load(), int32(1))
 }
 
-// TestUnmatchedResponses has answers come that belong to other requests, in every place.
+// Responses to other requests arrive extra, late, or as garbage: none may be returned for this request.
 func TestUnmatchedResponses(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -124,7 +124,7 @@
 			a, err := send(t, p, s, request("1"))
 			is.NoErr(err)
 			is.Equal(string(a.Body), "one")
-			time.Sleep(20 * time.Millisecond) // let what is extra arrive
+			time.Sleep(20 * time.Millisecond) // let the extra bytes arrive
 			a, err = send(t, p, s, request("2"))
 			if err == nil {
 				is.Equal(string(a.Body), "two")
@@ -154,7 +154,7 @@
 	is.Equal(string(a.Body), "hi")
 }
 
-// TestTruncatedResponsesFail ends answers early, in every way.
+// A response that is truncated or malformed must fail and must not be retried.
 func TestTruncatedResponsesFail(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
@@ -170,7 +170,7 @@
 			_, err := send(t, newConns(), s, request("1"))
 			is.True(err != nil)
 			is.True(errors.Is(err, forward.ErrSent))
-			is.Equal(s.requests.Load(), int32(1)) // it is never sent again
+			is.Equal(s.requests.Load(), int32(1)) // not retried
 		})
 	}
 }
@@ -208,15 +208,15 @@
 	is.True(!errors.Is(err, forward.ErrSent))
 }
 
-// TestClosedConnectionIsNotReused has the target close a connection that rests.
+// The target closes a reused connection at its second request: that request is lost and not sent again, and the
+// next one gets a new connection.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, okResponse("1", "one"), "")
 	p := newConns()
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
-	// The script closes the connection at its second request, which goes out on it: lost, and not
-	// sent again.
+	// The target closes the connection on this request.
 	_, err = send(t, p, s, request("2"))
 	is.True(errors.Is(err, forward.ErrSent))
 	is.Equal(s.requests.Load(), int32(2))
@@ -274,8 +274,8 @@
 	is.True(<-closed)
 }
 
-// TestEarlyResponsePreventsReuse has a target answer before it has read a long body: what is left
-// of the body must not be followed by another request.
+// A target responds before it has read a long body: the connection must not be reused, since the remaining body
+// would precede the next request.
 func TestEarlyResponsePreventsReuse(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -316,7 +316,7 @@
 	return len(p), nil
 }
 
-// TestLargeResponseIsStreamed reads an answer that is not kept whole.
+// A body above the buffering limit is streamed, and its connection is reused afterwards.
 func TestLargeResponseIsStreamed(t *testing.T) {
 	is := is.New(t)
 	const size = 1 << 20
@@ -364,8 +364,7 @@
 	}
 }
 
-// TestBodyReadErrorEndsTheRequest has a streamed body fail on its way. The target, which waits for the rest, is not waited
-// for.
+// A streamed body fails while it is sent. The target waits for the rest, and Send must not wait for the target.
 func TestBodyReadErrorEndsTheRequest(t *testing.T) {
 	for _, length := range []int64{-1, 32 << 20} {
 		is := is.New(t)
@@ -377,7 +376,7 @@
 		start := time.Now()
 		_, err := send(t, newConns(), s, r)
 		is.True(errors.Is(err, forward.ErrRequestBody))
-		is.True(errors.Is(err, forward.ErrSent)) // a part has gone out
+		is.True(errors.Is(err, forward.ErrSent)) // part of the body was sent
 		is.True(errors.Is(err, broken))
 		is.True(time.Since(start) < 500*time.Millisecond) // the context would end in a second
 	}
--- a/forward/source.go
+++ b/forward/source.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A source is a streamed body. It keeps why reading it failed, so that this is told apart from a failure to write.
+// A source is a streamed request body. It records read errors, to tell them apart from write errors.
 type source struct {
 	from io.Reader
 
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// readErr returns why reading failed, or nil.
+// readErr returns the error that ended reading, or nil.
 func (s *source) readErr() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forward/writer.go
+++ b/forward/writer.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// A bufioWriter gathers a request's header and small body into one write.
+// A bufioWriter combines a request's header and small body into one write.
 type bufioWriter struct{ *bufio.Writer }
 
 const writeBufferSize = 8 << 10
