--- a/door/arrived_conn_test.go
+++ b/door/arrived_conn_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestCloseReadsArrivedRequest hangs up a connection on which a whole request waits to be read.
+// A connection is closed while a request waits unread in the socket: the request must be read.
 func TestCloseReadsArrivedRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/door/conn.go
+++ b/door/conn.go
@@ -12,23 +12,23 @@
 	"github.com/tinladder/tinladder/framing"
 )
 
-// A conn is a connection of a door.
+// A conn is a connection of a Server.
 type conn struct {
 	net.Conn
 	server      *Server
 	idleTimeout func() time.Duration
-	// framing ends reading at requests that say in two ways where they end.
+	// framing rejects requests with ambiguous framing.
 	framing framing.Filter
 
 	mu sync.Mutex
-	// idle says that no request is on it, as far as has been read, and answered that one has been answered on it.
+	// idle says that no request is on the connection, as far as has been read, and answered that it has carried one.
 	idle, answered bool
-	// closing says that it ends as soon as it rests.
+	// closing says that the connection is closed as soon as it is idle.
 	closing bool
-	// nextStarted says that the next request has begun to come beside the one that is worked on, and awaitingNext that the server
-	// has begun to wait for the next one.
+	// nextStarted says that the first byte of the next request was read while the current one is handled,
+	// awaitingNext that the server has started to wait for the next one.
 	nextStarted, awaitingNext bool
-	// readDeadline is the read deadline that the server has set.
+	// readDeadline is the deadline that the server has set.
 	readDeadline time.Time
 }
 
@@ -38,8 +38,9 @@
 	return c.idle
 }
 
-// closeWhenIdle ends the connection if it rests, and otherwise as soon as it does. Only reading is ended, so the server closes
-// it, and only if nothing was read: what has been read of a request takes the end back, and is answered.
+// closeWhenIdle closes the connection if it is idle, and otherwise as soon as it is. It only ends reading, so
+// that the server closes the connection if nothing was read. If part of a request was read, the deadline is
+// restored and the request is answered.
 func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,8 +50,8 @@
 	}
 }
 
-// setIdle notes that the answer of the last request has been written. The connection does not setIdle if some of the next one has
-// been read.
+// setIdle notes that the response to the last request has been written. The connection stays busy if part of
+// the next one has been read.
 func (c *conn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,14 +59,13 @@
 	c.nextStarted, c.awaitingNext = false, false
 }
 
-// setBusy notes that a request has begun to come.
+// setBusy notes that a request has started to arrive.
 func (c *conn) setBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setBusyLocked()
 }
 
-// setBusyLocked is work for those that hold the lock.
 func (c *conn) setBusyLocked() {
 	if c.idle && c.closing {
 		_ = c.Conn.SetReadDeadline(c.readDeadline)
@@ -73,8 +73,8 @@
 	c.idle = false
 }
 
-// trackState notes what the server says of a connection. That a request has come it says only once its header has been
-// read whole: a connection is at work from the first byte on.
+// trackState follows the server's connection states. The server reports StateActive only once a request's header
+// has been read completely, so Read marks the connection as busy from the first byte on.
 func trackState(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
@@ -97,25 +97,27 @@
 	return n, err
 }
 
-// A socket reads what comes on a connection.
+// A socket reads from the underlying connection.
 type socket struct {
 	*conn
 }
 
-// Read implements io.Reader. A read whose deadline is over does not look at what has come by then, so a connection that
-// rests would end on a request, hung up or not: 77 to 200 of 200 that were there already had no answer (one processor).
+// Read implements io.Reader. A read past its deadline fails even if data has arrived, so an idle connection
+// would be closed on a request that has arrived, at shutdown or at its idle timeout: without the check of the socket,
+// 77 to 200 of 200 such requests got no response (one processor).
 func (s socket) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if n <= 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.isIdle() {
 		if n = s.recvBuffered(p); n > 0 {
 			return n, nil
 		}
-		_ = s.CloseWrite() // at once: what comes between the last look and the end is lost
+		_ = s.CloseWrite() // at once: a request that arrives between the check and the close is lost
 	}
 	return n, err
 }
 
-// noteRead notes that something has been read. Beside a request the server reads one byte, and nowhere else.
+// noteRead notes that data has been read. The server reads a single byte only in the background, while a
+// request is handled.
 func (c *conn) noteRead(one bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +125,7 @@
 	c.setBusyLocked()
 }
 
-// recvBuffered reads what has come, without waiting and whatever the deadline.
+// recvBuffered reads what the kernel has received, without blocking and regardless of the deadline.
 func (c *conn) recvBuffered(p []byte) (n int) {
 	sc, isSocket := c.Conn.(syscall.Conn)
 	if !isSocket {
@@ -137,8 +139,8 @@
 	return max(n, 0)
 }
 
-// SetReadDeadline implements net.Conn. The server sets one when a connection begins to rest, and the next one once it has
-// something of a request, which may have been read with the one before.
+// SetReadDeadline implements net.Conn. The server sets a deadline when a connection becomes idle, and another one once it
+// has part of the next request, which may have been read along with the previous one.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,8 +157,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends what goes to the visitor. The server does so before it closes a connection on which more comes than it
-// reads: without it the visitor's system would meet a reset before the answer has been read.
+// CloseWrite sends EOF to the client. The server does so before it closes a connection with unread data:
+// otherwise the client may see a reset before it has read the response.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -167,6 +169,6 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	c.server.removeConn(c)
-	_ = c.CloseWrite() // what has been written arrives before the reset that unread bytes cause
+	_ = c.CloseWrite() // written data arrives before the reset that unread bytes cause
 	return c.Conn.Close()
 }
--- a/door/conn_test.go
+++ b/door/conn_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// A crossing is a connection that is hung up while a read is on its way back with the first byte of a request.
+// A crossing is a connection that is told to close while a read returns the first byte of a request.
 type crossing struct {
 	net.Conn
 	hangUp   func()
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// TestFirstByteRestoresDeadline: the rest of a request is read whose first byte was, when its connection ended.
+// A connection is closed just as the first byte of a request is read: the deadline is restored, so that the rest
+// of the request is read.
 func TestFirstByteRestoresDeadline(t *testing.T) {
 	is := is.New(t)
 	x := &crossing{}
