--- a/door/door.go
+++ b/door/door.go
@@ -1,5 +1,5 @@
-// Package door serves HTTP at one address, and can be closed without cutting a request: it knows of each of its connections
-// whether one is on it.
+// Package door serves HTTP at one address and shuts down without cutting a request: it tracks for each of its
+// connections whether a request is on it.
 package door
 
 import (
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// A Server struct is a place where visitors of one kind come.
+// A Server is an HTTP server at one address.
 type Server struct {
 	name     string
 	listener *listener
 	http     *http.Server
-	// keepAlivesDisabled says that answers ask visitors to leave their connections.
+	// keepAlivesDisabled says that responses carry "Connection: close".
 	keepAlivesDisabled atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
 }
 
-// Listen returns a door at the address that serves nobody yet. If idle is not nil it says how long a connection may
-// rest, in place of the server's own bound, which cannot change.
+// Listen returns a server that listens at the address and does not accept yet. If idleTimeout is not nil, it replaces
+// the server's own IdleTimeout, which cannot change.
 func Listen(name, address string, h *http.Server, idleTimeout func() time.Duration) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// handler sends visitors away with their answers, once they are to go.
+// handler adds "Connection: close" to responses once keep-alives are disabled.
 func (s *Server) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.keepAlivesDisabled.Load() {
@@ -47,65 +47,67 @@
 	})
 }
 
-// Name returns the door's name.
+// Name returns the name given to Listen.
 func (s *Server) Name() string {
 	return s.name
 }
 
-// Serve serves visitors until the door is shut.
+// Serve accepts connections until StopAccepting or Close.
 func (s *Server) Serve() error {
 	defer s.listener.closed.Store(true)
 	return s.http.Serve(s.listener)
 }
 
-// DisableKeepAlives has visitors leave their connections after their next answers. Those that rest stay open: a request may be on
-// its way on them.
+// DisableKeepAlives asks clients, with each further response, to close the connection. Idle connections stay open,
+// since a request may be on its way on them.
 func (s *Server) DisableKeepAlives() {
 	s.keepAlivesDisabled.Store(true)
 }
 
-// StopAccepting takes no further connections, but for those that visitors hold to be open. Those that are open stay.
+// StopAccepting closes the listener once the connections that the kernel has already completed are accepted. Open
+// connections stay open.
 func (s *Server) StopAccepting() {
 	s.listener.stopAccepting()
 }
 
-// AcceptStopped says whether nobody comes in any more.
+// AcceptStopped reports whether the listener is closed.
 func (s *Server) AcceptStopped() bool {
 	return s.listener.closed.Load()
 }
 
-// CloseWhenIdle ends the connections that rest, and each of the others once its answer has been written. A request of which
-// anything has come is answered.
+// CloseWhenIdle closes idle connections, and each of the others once its response has been written. A request of which
+// any byte has arrived is answered.
 func (s *Server) CloseWhenIdle() {
 	s.mu.Lock()
-	conns := slices.Collect(maps.Keys(s.conns)) // with the lock held, none of them could close until all had been hung up
+	conns := slices.Collect(maps.Keys(s.conns)) // unlocked, so that connections can be removed during the loop
 	s.mu.Unlock()
 	for _, c := range conns {
 		c.closeWhenIdle()
 	}
 }
 
-// Close closes the door and all its connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	_ = s.listener.Close()
 }
 
-// Counts are a door's connections.
+// Counts are the numbers of a server's open connections.
 type Counts struct {
-	// Idle connections have no request on them, as far as has been read. Busy ones have a request that has begun
-	// to be read, is worked on, or whose answer has not been written whole.
+	// Idle connections have no request on them, as far as has been read. On Busy ones, a request is being read or
+	// handled, or its response has not been written completely.
 	Idle, Busy int
 }
 
-// Open is all of them.
+// Open returns the total.
 func (c Counts) Open() int {
 	return c.Idle + c.Busy
 }
 
-// Open returns how many connections are open. A door that is not shut yet counts as one: somebody may be coming in.
+// Open returns the number of open connections. While the listener is open it counts as one more, since a connection
+// may be about to be accepted.
 func (s *Server) Open() int {
-	stopped := s.AcceptStopped() // first: who came in before it was is among the connections then
+	stopped := s.AcceptStopped() // first: a connection accepted just before the close is counted below
 	n := s.Counts().Open()
 	if !stopped {
 		n++
@@ -113,7 +115,7 @@
 	return n
 }
 
-// Counts returns how many connections are open.
+// Counts returns the numbers of open connections.
 func (s *Server) Counts() (n Counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/door/listener.go
+++ b/door/listener.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// acceptPoll is how long the listener looks for visitors at a time, once it is to close.
+	// acceptPoll is the accept deadline while the listener drains its queue.
 	acceptPoll = time.Millisecond
-	// maxLateAccepts are the most that it takes in then: as many as the system keeps waiting. A bound on the time would reset
-	// all who wait where the process stands still for that long.
+	// maxLateAccepts bounds the connections accepted while draining. It equals the kernel's accept queue. A time limit
+	// instead would reset all queued connections if the process was stalled for that long.
 	maxLateAccepts = 4096
 )
 
-// past ends at once what waits.
+// past is a deadline that makes pending calls fail at once.
 var past = time.Unix(1, 0)
 
-// A listener notes the connections of its door.
+// A listener registers the connections of its server.
 type listener struct {
 	*net.TCPListener
 	server      *Server
 	idleTimeout func() time.Duration
-	// closing says that it is to close once nobody waits, and late are those that it has taken in since; only Accept, which
-	// one goroutine calls, counts them.
+	// closing says that the listener closes once its accept queue is empty. lateAccepts counts the connections accepted
+	// since; only Accept, which one goroutine calls, uses it.
 	closing     atomic.Bool
 	lateAccepts int
 	closed      atomic.Bool
 }
 
-// stopAccepting has the listener close once those that have connected are in. The system completes connections by itself; closed
-// at once, the listener would reset those that wait to be accepted, with the first requests that were sent on them.
+// stopAccepting makes the listener close once the queued connections are accepted. The kernel completes connections by
+// itself; an immediate close would reset those in the accept queue, along with the requests already sent on them.
 func (l *listener) stopAccepting() {
 	l.closing.Store(true)
 	_ = l.SetDeadline(past)
@@ -66,8 +66,8 @@
 	}
 }
 
-// connPending says whether somebody waits to be let in. That the deadline is over does not tell: the look that it ended may not
-// have been taken.
+// connPending reports whether the accept queue holds a connection. An exceeded deadline does not prove that it is empty:
+// Accept may have failed without checking the queue.
 func (l *listener) connPending() (waits bool) {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/door/open_test.go
+++ b/door/open_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// A node ends once nothing is open at its doors. Whether the door was shut was looked at after its connections had been
-// counted: a visitor who came in between, as the last one before it shut, was in neither, and the end would cut him.
+// A node exits once its servers have no open connections. Open checked the listener after counting the connections: a
+// connection accepted in between was missed, and cut by the exit.
 func TestOpenSeesConnectionAcceptedDuringClose(t *testing.T) {
 	is := is.New(t)
 	c := &conn{idle: true}
 	d := &Server{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
-	c.mu.Lock() // the count waits for it
+	c.mu.Lock() // blocks Counts
 	counted := make(chan int)
 	go func() { counted <- d.Open() }()
 	for d.mu.TryLock() {
@@ -22,6 +22,6 @@
 	}
 	d.listener.closed.Store(true)
 	c.mu.Unlock()
-	is.Equal(<-counted, 2) // the connection, and who may have come in
+	is.Equal(<-counted, 2) // the connection, and one that may be accepted
 	is.Equal(d.Open(), 1)
 }
