--- a/framing/head.go
+++ b/framing/head.go
@@ -10,23 +10,23 @@
 	transferEncoding = "Transfer-Encoding"
 )
 
-// A head is what a request's header has said of its end so far.
+// A head is the part of a request's header that determines the framing, as read so far.
 type head struct {
-	// started says that the request's first line has come, http10 that it names HTTP/1.0, and http2 that it names HTTP/2, of
-	// which no lines follow.
+	// started says that the request line has been read, http10 that its version is HTTP/1.0, and http2 that it is HTTP/2.0,
+	// which is not parsed any further.
 	started, http10, http2 bool
-	// lengths and codings are how many there are of each; length and coding are the last ones.
+	// lengths and codings count the Content-Length and Transfer-Encoding fields; length and coding are the last values.
 	lengths, codings int
 	length, coding   string
-	// lastValue is the value that a folded line goes on with, if it matters.
+	// lastValue is the value that a folded line continues, or nil if that field is ignored.
 	lastValue *string
 }
 
-// addLine takes a line, and says whether the header ends with it.
+// addLine adds a line, and reports whether it ends the header.
 func (h *head) addLine(line []byte) bool {
 	switch {
 	case !h.started:
-		// The library passes over empty lines in this place, or refuses them.
+		// net/http skips leading empty lines, or rejects them.
 		h.started, h.http10, h.http2 = len(line) > 0, bytes.HasSuffix(line, []byte("HTTP/1.0")), bytes.HasSuffix(line, []byte("HTTP/2.0"))
 		return false
 	case len(line) == 0:
--- a/framing/watch.go
+++ b/framing/watch.go
@@ -1,6 +1,6 @@
-// Package framing watches the bytes that a caller sends for requests that say in two ways where they end. The library that
-// reads requests takes the one and forgets the other, so that nothing behind it can tell; a reader in front of it that takes
-// the other one finds another request where this one has its body (RFC 9112, 11.2).
+// Package framing detects requests with ambiguous framing, as used for request smuggling. net/http picks one of two
+// conflicting lengths and drops the other, so that handlers cannot tell; a proxy in front that picks the other one sees
+// a different request where this one has its body (RFC 9112, 11.2).
 package framing
 
 import (
@@ -12,28 +12,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errAmbiguous ends reading at a request that has two lengths, a length and chunks, or a coding though it is of HTTP/1.0.
-var errAmbiguous = errors.New("the request says in two ways where it ends")
+// errAmbiguous ends reading at a request with several lengths, a length and a chunked body, or a transfer coding in
+// HTTP/1.0.
+var errAmbiguous = errors.New("ambiguous request framing")
 
-// refusal is what the library reads in place of an ambiguous header's end: no header line, so that it answers with 400 and
-// closes the connection. An error would reach it while it works on the request before, and end that one.
+// refusal replaces the end of an ambiguous header. It is not a valid header line, so that net/http responds with 400 and
+// closes the connection. A read error instead would cancel the previous request if that is still being handled.
 var refusal = []byte("\x00\r\n")
 
-// A Filter struct follows the requests on one connection. The zero value is at the start of the first one. It follows what
-// the library takes; once the library has to refuse it follows nothing more, since the connection ends with that.
+// A Filter follows the requests on one connection. The zero value expects the first request. Input that net/http
+// rejects is not followed any further, since the connection ends there.
 type Filter struct {
 	state     state
 	ambiguous bool
-	// refusalRead is how much has been read of what is refused.
+	// refusalRead is how much of refusal has been returned.
 	refusalRead int
-	// line is what has come of a line that has not ended. The library bounds how long one may get, as it stops reading.
+	// line is an unfinished line. Its length is bounded by net/http, which stops reading.
 	line []byte
-	// remaining is what is to come of a body, or of a chunk.
+	// remaining is the number of bytes left of a body or chunk.
 	remaining uint64
 	head      head
 }
 
-// A state is where in a request the bytes are.
+// A state is the parser's position within a request.
 type state int
 
 const (
@@ -46,7 +47,7 @@
 	unknown
 )
 
-// Read reads from r, up to the end of an ambiguous request's header. In its place comes what the library refuses.
+// Read reads from r up to the end of an ambiguous request's header, which it replaces by bytes that net/http rejects.
 func (f *Filter) Read(r io.Reader, p []byte) (int, error) {
 	if !f.ambiguous {
 		n, err := r.Read(p)
@@ -66,12 +67,12 @@
 	return n, nil
 }
 
-// Ambiguous says whether reading ended at an ambiguous request.
+// Ambiguous reports whether reading ended at an ambiguous request.
 func (f *Filter) Ambiguous() bool {
 	return f.ambiguous
 }
 
-// scan follows the bytes, and returns how many of them may go on.
+// scan follows the bytes, and returns how many of them may be passed on.
 func (f *Filter) scan(p []byte) int {
 	i := 0
 	for i < len(p) {
@@ -102,7 +103,7 @@
 	return i
 }
 
-// nextState is what follows a body, or a chunk.
+// nextState returns the state after a body or chunk.
 func (f *Filter) nextState() state {
 	if f.state == inChunk {
 		return afterChunk
@@ -110,7 +111,7 @@
 	return inHeader
 }
 
-// endLine takes the rest of a line, without its LF.
+// endLine processes a line, given its remaining bytes without the LF.
 func (f *Filter) endLine(rest []byte) {
 	line := rest
 	if len(f.line) > 0 {
@@ -133,7 +134,7 @@
 	}
 }
 
-// endHeader goes on to what the header says comes next.
+// endHeader selects the state after a header.
 func (f *Filter) endHeader(h head) {
 	chunked := h.codings == 1 && strings.EqualFold(h.coding, "chunked")
 	switch {
@@ -162,7 +163,7 @@
 	}
 }
 
-// startChunk takes the line before a chunk.
+// startChunk parses a chunk-size line.
 func (f *Filter) startChunk(line []byte, strict bool) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 64)
--- a/framing/watch_test.go
+++ b/framing/watch_test.go
@@ -25,7 +25,7 @@
 	chunks  = "5\r\nhello\r\n0\r\n\r\n"
 )
 
-// watched reads all through a Watch.
+// watched reads through a Filter.
 type watched struct {
 	watch framing.Filter
 	r     io.Reader
@@ -35,10 +35,10 @@
 	return w.watch.Read(w.r, p)
 }
 
-// cases are what callers send, and how many requests of it go on; fewer than all if one is ambiguous.
+// cases are byte streams sent by clients.
 var cases = []struct {
 	name, send string
-	// through are the requests before the ambiguous one, or all of them.
+	// through is the number of requests before the ambiguous one, or of all.
 	through   int
 	ambiguous bool
 }{
@@ -88,13 +88,13 @@
 	}
 }
 
-// A request is one as the library reads it.
+// A request is one as net/http reads it.
 type request struct{ line, body string }
 
-// errVersion is where the library's server refuses a version.
+// errVersion stands for the server's check of the version.
 var errVersion = errors.New("not HTTP/1")
 
-// requests reads until something fails.
+// requests reads requests until an error.
 func requests(r io.Reader) (list []request, err error) {
 	b := bufio.NewReader(r)
 	for {
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestServerRejectsAmbiguousRequest has the library's server read through a Watch. The requests before an ambiguous one are served to
-// their ends, though the server reads on while it works on them.
+// An ambiguous request follows others on a connection of an http.Server: it must get a 400, and those before it
+// must be handled to their end, though the server reads ahead in the background.
 func TestServerRejectsAmbiguousRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,14 +155,14 @@
 	return c.watch.Read(c.Conn, p)
 }
 
-// FuzzFilter reads with the library alone, and through a Watch. The Watch ends reading at the first request that the
-// library takes and that is ambiguous by its raw header, and nowhere else. As its end is held back, the library may refuse
-// the one before: it wants to see an empty line behind a trailer.
+// FuzzFilter compares reading with net/http alone and through a Filter. The Filter must end at the first request that
+// net/http accepts and whose raw header is ambiguous, and nowhere else. Since the end of that header is withheld, net/http
+// may also reject the request before: it requires an empty line after a trailer.
 func FuzzFilter(f *testing.F) {
 	for _, c := range cases {
 		f.Add([]byte(c.send))
 	}
-	f.Add([]byte(post + chunked + "\r\n0\r\n\nGET /a HTTP/1.0\n" + chunked + "\r\n")) // a trailer that has no end for the library
+	f.Add([]byte(post + chunked + "\r\n0\r\n\nGET /a HTTP/1.0\n" + chunked + "\r\n")) // a trailer that does not end for net/http
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		want, ambiguous, refused := firstAmbiguous(sent)
 		for _, r := range []io.Reader{bytes.NewReader(sent), iotest.OneByteReader(bytes.NewReader(sent))} {
@@ -180,8 +180,8 @@
 	})
 }
 
-// firstAmbiguous returns the requests that the library reads before an ambiguous one, or before one that it
-// refuses: what a Watch says of that one does not matter.
+// firstAmbiguous returns the requests that net/http reads before the first ambiguous or rejected one. What a Filter
+// reports of a rejected one does not matter.
 func firstAmbiguous(sent []byte) (list []request, ambiguous, refused bool) {
 	counted := bytes.NewReader(sent)
 	b := bufio.NewReader(counted)
@@ -203,7 +203,7 @@
 	}
 }
 
-// ambiguousHeader reads a header again, with all its lines.
+// ambiguousHeader parses a raw header and reports whether its framing is ambiguous.
 func ambiguousHeader(raw []byte) bool {
 	r := textproto.NewReader(bufio.NewReader(bytes.NewReader(raw)))
 	line, err := r.ReadLine()
@@ -217,7 +217,7 @@
 		len(codings) == 1 && strings.EqualFold(codings[0], "chunked") && len(lengths) > 0)
 }
 
-// BenchmarkFilter is what each request pays: a header of 10 lines and 300 bytes in one read.
+// BenchmarkFilter measures the cost per request: a header of 10 lines and 300 bytes in one read.
 func BenchmarkFilter(b *testing.B) {
 	sent := []byte(post + strings.Repeat("X-Some-Name: some-value\r\n", 10) + five + "\r\nhello")
 	r := bytes.NewReader(sent)
