--- a/reading/body.go
+++ b/reading/body.go
@@ -1,5 +1,5 @@
-// Package reading finds requests that a target could read in another way than this node does: it decides by the request
-// alone, and does no I/O of its own.
+// Package reading rejects requests that a target could parse differently from this node. It looks only at the request
+// and does no I/O of its own.
 package reading
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTrailer ends bodies that a malformed trailer follows.
+// ErrTrailer is returned at the end of a body with a malformed trailer.
 var ErrTrailer = errors.New("malformed trailer")
 
-// Body returns the request's body, which ends badly if its trailer is malformed.
+// Body returns the request's body, which ends with ErrTrailer if its trailer is malformed.
 func Body(r *http.Request) io.Reader {
 	return &body{r: r}
 }
--- a/reading/fields.go
+++ b/reading/fields.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ValidFields says whether all names are tokens, and all values free of control characters (RFC 9110, 5.1 and 5.5). The
-// library checks headers, but no trailers.
+// ValidFields reports whether all names are tokens and all values are free of control characters (RFC 9110, 5.1 and 5.5).
+// net/http checks headers, but not trailers.
 func ValidFields(h http.Header) bool {
 	for name, values := range h {
 		if !isToken(name) {
--- a/reading/target.go
+++ b/reading/target.go
@@ -7,15 +7,16 @@
 	"strings"
 )
 
-// A Refusal struct says why a request is not taken.
+// A Refusal is the reason why a request is rejected.
 type Refusal struct {
 	Status int
 	Reason string
-	// Close says that what follows on the connection may be no request.
+	// Close says that the connection must be closed, since what follows may not be a request.
 	Close bool
 }
 
-// CheckTarget returns a refusal of requests whose target or host cannot be passed on as one that every reader takes alike.
+// CheckTarget rejects requests whose target or host not every HTTP implementation would parse in the same way. It
+// returns nil for valid ones.
 func CheckTarget(r *http.Request) *Refusal {
 	uri := r.RequestURI
 	switch {
@@ -31,19 +32,18 @@
 	return nil
 }
 
-// isAbsoluteHTTP says whether the target names its host, and nobody's password (RFC 9110, 4.2.4).
+// isAbsoluteHTTP reports whether the target is an http URL with a host and without user information (RFC 9110, 4.2.4).
 func isAbsoluteHTTP(u *url.URL) bool {
 	return u.Scheme == "http" && u.Host != "" && u.User == nil
 }
 
-// validPort says whether what follows the host's name, if anything, is a port.
+// validPort reports whether the host has a numeric port or none.
 func validPort(host string) bool {
 	_, port, _ := strings.Cut(host[strings.LastIndexByte(host, ']')+1:], ":")
 	return strings.Trim(port, "0123456789") == ""
 }
 
-// OriginForm returns the request's path and query as the caller wrote them, without a scheme and host before them
-// (RFC 9112, 3.2.1).
+// OriginForm returns the request's path and query as the caller sent them, without scheme and host (RFC 9112, 3.2.1).
 func OriginForm(r *http.Request) string {
 	_, rest, found := strings.Cut(r.RequestURI, "://")
 	if strings.HasPrefix(r.RequestURI, "/") || !found {
@@ -59,10 +59,10 @@
 	return rest[i:]
 }
 
-// NormalizePath returns the path of a target in origin form as a reader may understand it that decodes letters, and resolves
-// dots and empty segments (RFC 3986, 6.2.2). A path with dots is read in the laxest way: encoded slashes and backslashes
-// part it too. If it leads to another route than the path as it stands, a target could run what the route's caller may
-// not ask.
+// NormalizePath returns the path of a target in origin form as a lenient server may interpret it, with unreserved
+// characters decoded, and dot segments and empty segments resolved (RFC 3986, 6.2.2). If the path contains "..",
+// encoded slashes and backslashes count as separators too. If the result leads to another route than the raw path,
+// a target could run what the caller of that route may not request.
 func NormalizePath(origin string) string {
 	p, _, _ := strings.Cut(origin, "?")
 	if isPlain(p) {
@@ -74,7 +74,7 @@
 	return cleanPath(stripDotParams(normalizeEscapes(p, false)))
 }
 
-// isPlain says that there is nothing to decode or to resolve.
+// isPlain reports whether the path has nothing to decode or resolve.
 func isPlain(p string) bool {
 	for i := range len(p) {
 		switch c := p[i]; {
@@ -87,7 +87,7 @@
 	return true
 }
 
-// needsEncoding says of signs whether the library encodes them, where it does not find them encoded.
+// needsEncoding reports whether net/url encodes the byte in a path.
 func needsEncoding(c byte) bool {
 	switch c {
 	case '"', '<', '>', '\\', '^', '`', '{', '|', '}':
@@ -96,7 +96,8 @@
 	return c >= 0x7f
 }
 
-// stripDotParams drops the parameters of dots: some readers drop those of all segments before they resolve dots.
+// stripDotParams removes the parameters of dot segments ("..;a"): some servers strip the parameters of all segments
+// before they resolve dots.
 func stripDotParams(p string) string {
 	if !strings.Contains(p, ";") {
 		return p
@@ -119,7 +120,8 @@
 	return false
 }
 
-// cleanPath resolves dots and empty segments. What ends with a slash or dots still ends with a slash.
+// cleanPath resolves dot segments and empty segments. A path that ends with a slash or a dot segment keeps a final
+// slash.
 func cleanPath(p string) string {
 	last := p[strings.LastIndexByte(p, '/')+1:]
 	p = path.Clean(p)
@@ -129,8 +131,8 @@
 	return p
 }
 
-// normalizeEscapes decodes what needs no encoding, and encodes what does; all else stays as it was written. If lax it takes
-// encoded slashes and all backslashes for slashes.
+// normalizeEscapes decodes unreserved characters and encodes those that need it; other escapes are kept as they are.
+// If lax, encoded slashes and all backslashes become slashes.
 func normalizeEscapes(p string, lax bool) string {
 	var b strings.Builder
 	for i := 0; i < len(p); i++ {
--- a/reading/target_test.go
+++ b/reading/target_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// FuzzNormalizePath resolves paths twice: what is resolved has no dots and no empty segments left.
+// FuzzNormalizePath checks that normalizing is idempotent and leaves no dot segments and no empty segments.
 func FuzzNormalizePath(f *testing.F) {
 	for _, s := range []string{"/a/../b", "/a%2F..%5c.%2e/", `/\..\.`, "//", "/%2e/é"} {
 		f.Add(s)
@@ -99,7 +99,7 @@
 
 var resolved string
 
-// BenchmarkNormalizePath is what each request pays: 55 to 65 ns for a plain path of 22 bytes.
+// BenchmarkNormalizePath measures the cost per request: 55 to 65 ns for a plain path of 22 bytes.
 func BenchmarkNormalizePath(b *testing.B) {
 	for b.Loop() {
 		resolved = reading.NormalizePath("/orders/2f8a0b/items/17?fields=name")
