--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -1,78 +1,78 @@
-// Package attempt decides how a request goes on after each of its attempts: whether its caller gets the target's
-// answer, it is tried at another target, or it is given up, and what may be said of it then. It does no I/O.
+// Package attempt decides what happens to a request after each of its attempts: whether the caller gets the target's
+// response, the request is retried at another target, or it is given up, and what the caller may be told then. It does
+// no I/O.
 //
-// The loads that it answers: targets that turn half of what comes away, targets that crash with requests in flight,
-// and callers that repeat at once. Each further attempt is one more request for a service that may be short of
-// targets already, so there is one only where it can still be in time, and within the fleet's budget if it arrives.
+// It is designed for targets that reject half of their requests, targets that crash with requests in flight, and callers
+// that retry at once. Each retry adds load to a service that may already lack targets, so a request is retried only if
+// it can still meet its deadline and the fleet's retry budget allows it.
 package attempt
 
 import "github.com/tinladder/tinladder/clock"
 
 const (
-	// MaxTargets bounds the targets that one request goes to.
+	// MaxTargets bounds the targets that one request is sent to.
 	MaxTargets = 6
-	// minTimeShare is the part of a usual service time that must be left for another attempt: with less it would fail
-	// more often than not, and cost a slot all the same.
+	// minTimeShare is the part of a typical service time that must remain for a retry: with less, it would more often
+	// fail than not, and still occupy a slot.
 	minTimeShare = 0.5
 )
 
-// A Policy is what a request allows.
+// A Policy says which attempts a request allows.
 type Policy struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
 	// Streamed requests have a body that cannot be sent again.
 	Streamed bool
-	// MaxAttempts is how many attempts may run.
+	// MaxAttempts bounds the attempts that may run.
 	MaxAttempts int
-	// SingleTarget requests go to one target only, whatever it does with them: some have crashed under them.
+	// SingleTarget requests run at one target only, whatever the result: some targets have crashed while running them.
 	SingleTarget bool
 }
 
-// An Result is how an attempt ended, as far as it decides what follows.
+// A Result is the outcome of an attempt, as far as it matters for the next step.
 type Result struct {
-	// Answered says that the target gave an answer, Failed that it is a failure, and NotRun that the target says
-	// that it did not run the request.
+	// Answered says that the target responded, Failed that the response is a failure, and NotRun that the target
+	// reports that it did not run the request.
 	Answered, Failed, NotRun bool
-	// Unsent says that nothing of the request reached a target.
+	// Unsent says that no byte of the request was sent to a target.
 	Unsent bool
 }
 
-// A Progress is how far a request has come.
+// Progress is the state of a request.
 type Progress struct {
-	// Ran counts the attempts that a target may have run, and Tried the targets that it went to.
+	// Ran counts the attempts that may have run, and Tried the targets that the request was sent to.
 	Ran, Tried int
-	// TimeLeft is the time until its deadline, and TypicalTime how long its service usually takes.
+	// TimeLeft is the time until the deadline, and TypicalTime the usual service time.
 	TimeLeft, TypicalTime clock.Millis
-	// CallerGone says that nobody waits for the answer.
+	// CallerGone says that the caller has disconnected.
 	CallerGone bool
-	// Stopping says that the node has no time for another attempt.
+	// Stopping says that the node is shutting down and has no time for another attempt.
 	Stopping bool
 }
 
-// A Step is what follows.
+// A Step is what happens next.
 type Step int
 
-// Steps.
+// The steps.
 const (
-	// Respond passes the target's answer on.
+	// Respond forwards the target's response.
 	Respond Step = iota
 	// Retry tries another target.
 	Retry
-	// NotRun gives the request up, and says that it has not run.
+	// NotRun gives up, and reports that the request has not run.
 	NotRun
-	// Unknown gives it up, and says that it may have run.
+	// Unknown gives up, and reports that the request may have run.
 	Unknown
-	// Canceled ends it, since its caller has left.
+	// Canceled ends the request, since its caller has disconnected.
 	Canceled
 )
 
-// String returns the step's name.
 func (s Step) String() string {
 	return [...]string{"answer", "again", "not-run", "unknown", "gone"}[s]
 }
 
-// Next says what follows an attempt. It asks the budget for one more attempt only where there would be one: more
-// says whether the fleet may make it, and counts it.
+// Next returns the step after an attempt. It calls takeBudget, which counts a retry and reports whether the fleet's budget
+// allows it, only if the request would be retried.
 func (p Policy) Next(e Result, at Progress, takeBudget func() bool) Step {
 	if e.Answered && !e.Failed && !e.NotRun {
 		return Respond
@@ -92,12 +92,12 @@
 	return Respond
 }
 
-// canRetry says whether another attempt can be made, and be in time.
+// canRetry reports whether another attempt is possible and can meet the deadline.
 func (p Policy) canRetry(at Progress) bool {
 	return !p.Streamed && !at.Stopping && at.Tried < MaxTargets && float64(at.TimeLeft) >= minTimeShare*float64(at.TypicalTime)
 }
 
-// CanHedge says whether a second attempt may run beside the first.
+// CanHedge reports whether a second attempt may run concurrently with the first.
 func (p Policy) CanHedge(ran int) bool {
 	return p.Repeatable && !p.Streamed && !p.SingleTarget && ran+1 < p.MaxAttempts
 }
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -18,7 +18,7 @@
 	plenty     = attempt.Progress{Tried: 1, TimeLeft: 3000, TypicalTime: 300}
 )
 
-// with returns the progress with one thing changed.
+// with returns plenty, modified by change.
 func with(change func(p *attempt.Progress)) attempt.Progress {
 	p := plenty
 	change(&p)
@@ -69,12 +69,13 @@
 	}
 }
 
-// TestRunOnceIsNotRetriedAfterItMayHaveRun goes through all that can be said of an attempt.
+// A run-once request must never be retried after it may have run, nor be reported as not run, whatever the result of
+// the attempt.
 func TestRunOnceIsNotRetriedAfterItMayHaveRun(t *testing.T) {
 	for bits := range 16 {
 		e := attempt.Result{Answered: bits&1 > 0, Failed: bits&2 > 0, NotRun: bits&4 > 0, Unsent: bits&8 > 0}
 		if e.NotRun && !e.Answered || e.Unsent && e.Answered {
-			continue // cannot be
+			continue // impossible
 		}
 		for _, left := range []clock.Millis{0, 3000} {
 			for _, more := range []func() bool{always, never} {
@@ -88,7 +89,7 @@
 	}
 }
 
-// TestBudgetIsTakenOnlyForRetries counts how often the budget is asked: each time counts as one attempt of the fleet.
+// Each call of the budget counts as one retry of the fleet, so it must be called only for retries that are made.
 func TestBudgetIsTakenOnlyForRetries(t *testing.T) {
 	for _, c := range []struct {
 		end  attempt.Result
