--- a/latency/latency.go
+++ b/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency learns how long requests of a kind take, from the good answers of the last half
-// minute. It does no I/O.
+// Package latency estimates how long requests of a kind take, from the successful responses of the last 15 to 30 seconds.
+// It does no I/O.
 package latency
 
 import (
@@ -10,28 +10,28 @@
 )
 
 const (
-	// window is how long an answer is counted at least; twice as long at most.
+	// window is the minimum time for which a sample counts; the maximum is twice that.
 	window = 15 * clock.Second
-	// maxMillis bounds what is told apart, in milliseconds, and digits how finely: one digit is within a tenth.
+	// maxMillis is the largest value recorded, and significantDigits the precision: one digit is accurate to 10 %.
 	maxMillis         = 60000
 	significantDigits = 1
-	// minSamples is how many answers say something of a quantile.
+	// minSamples is the number of samples required for a quantile.
 	minSamples = 20
 )
 
-// A Tracker struct holds how long one kind of request took of late. It is safe for concurrent use. It
-// takes about 4 KB of memory.
+// A Tracker holds the recent latencies of one kind of request. It is safe for concurrent use. It takes about 4 KB of
+// memory.
 type Tracker struct {
 	clock clock.Clock
 
 	mu          sync.Mutex
 	windowStart clock.Millis
-	// current counts since then, and all what came before, too.
+	// current holds the samples since windowStart, and total those of the previous window as well.
 	current *hdrhistogram.Histogram
 	total   *hdrhistogram.Histogram
 }
 
-// New returns a track that knows nothing.
+// New returns an empty Tracker.
 func New(c clock.Clock) *Tracker {
 	return &Tracker{clock: c, windowStart: c.Now(), current: histogram(), total: histogram()}
 }
@@ -40,18 +40,18 @@
 	return hdrhistogram.New(1, maxMillis, significantDigits)
 }
 
-// Add counts an answer that took so long. One that was not waited for to its end counts with the time
-// that it was: left out, the slow ones would be missing and what is usual would shrink.
+// Add records a latency. For an attempt that was abandoned, it is the time waited so far: without these samples, slow
+// responses would be missing and the quantiles would be too low.
 func (t *Tracker) Add(took clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rotate()
 	ms := min(max(int64(took), 1), maxMillis)
-	_ = t.current.RecordValue(ms) // within the bounds it does not fail
+	_ = t.current.RecordValue(ms) // cannot fail within the bounds
 	_ = t.total.RecordValue(ms)
 }
 
-// rotate drops what is too old.
+// rotate drops samples that are too old.
 func (t *Tracker) rotate() {
 	now := t.clock.Now()
 	if now-t.windowStart < window {
@@ -65,7 +65,8 @@
 	t.windowStart = now
 }
 
-// Quantile returns how long the share of the answers took at most, and false if too few are known.
+// Quantile returns the latency that the given share of the samples does not exceed, and false if there are too few
+// samples.
 func (t *Tracker) Quantile(share float64) (clock.Millis, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/latency/latency_test.go
+++ b/latency/latency_test.go
@@ -8,7 +8,7 @@
 	"github.com/tinladder/tinladder/latency"
 )
 
-// TestQuantile adds the times 1 to 100 ms.
+// The samples are 1 to 100 ms.
 func TestQuantile(t *testing.T) {
 	is := is.New(t)
 	tr := latency.New(clock.NewManual(1000))
@@ -22,7 +22,7 @@
 	is.True(q >= 85 && q <= 99)
 }
 
-// TestOldSamplesAreDropped has a kind become slower. After half a minute only the new times count.
+// Requests become slower: after 40 s only the new latencies count.
 func TestOldSamplesAreDropped(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -42,7 +42,7 @@
 	is.True(!known)
 }
 
-// TestBounds takes times that no request should have.
+// Negative and very large latencies are recorded within the bounds of the histogram.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	tr := latency.New(clock.NewManual(0))
