--- a/pacer/work.go
+++ b/pacer/work.go
@@ -7,26 +7,25 @@
 )
 
 const (
-	// maxChargePerJob bounds what one job is charged for: a process that stands still in the middle of one would do no other for
-	// long.
+	// maxChargePerJob bounds the charge for one job: a process stalled within a job would otherwise admit no other for a
+	// long time.
 	maxChargePerJob = 1 * clock.Second
-	// maxSlowdown bounds how many times as long as estimated a job counts: a small one that is interrupted once would count
+	// maxSlowdown bounds the charge as a multiple of the estimate: otherwise one interruption would make a small job count
 	// as a large one.
 	maxSlowdown = 20
 )
 
-// Share says what part of the processor a kind of work may take.
+// A Share is the part of the processor that a kind of work may take.
 type Share struct {
-	// Fraction is the part of the processor's time.
+	// Fraction is the fraction of processor time.
 	Fraction float64
-	// MeasuredFraction is the part of a job's time that is spent within Do.
+	// MeasuredFraction is the fraction of a job's total time that is spent within Do.
 	MeasuredFraction float64
-	// MaxAhead is how much may be promised ahead.
+	// MaxAhead is how much charged time may lie ahead when a job is admitted.
 	MaxAhead clock.Millis
 }
 
-// A Runner struct does jobs of one kind, one at a time, and no more of them than its part of the processor allows. It is safe
-// for concurrent use.
+// A Runner runs jobs of one kind, one at a time, within their share. It is safe for concurrent use.
 type Runner struct {
 	clock clock.Clock
 	share Share
@@ -35,13 +34,13 @@
 	mu sync.Mutex
 }
 
-// NewRunner returns the work of one kind.
+// NewRunner returns a Runner with the given share.
 func NewRunner(c clock.Clock, s Share) *Runner {
 	return &Runner{clock: c, share: s, pacer: New(c, s.MaxAhead)}
 }
 
-// Do does the job if there is room for it. The job returns how long it takes on an idle processor, in milliseconds; where
-// it took longer, that counts.
+// Do runs the job if the share admits it, and reports whether it did. The job returns its estimated time on an idle
+// processor, in milliseconds; if it took longer, the measured time is charged.
 func (w *Runner) Do(job func() (millis float64)) (done bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pacer/work_test.go
+++ b/pacer/work_test.go
@@ -8,9 +8,9 @@
 	"github.com/tinladder/tinladder/pacer"
 )
 
-// TestRunnerKeepsItsShare offers jobs all the time on processors of different speeds. What they take stays within the share
-// also where each takes many times the estimate: beside busy processes a node gave 57 large answers in 5.46 s and did
-// nothing else, since each was charged for as on an idle machine.
+// Jobs are offered continuously on processors of different speeds and must stay within the share, also if each takes many
+// times the estimate. Charged by the estimate alone, a node beside busy processes computed 57 large responses in 5.46 s and
+// did nothing else.
 func TestRunnerKeepsItsShare(t *testing.T) {
 	const (
 		span     = 20 * clock.Second
@@ -19,9 +19,9 @@
 	part := pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100}
 	cases := []struct {
 		name string
-		// within is how long a job takes within Do, in milliseconds.
+		// within is the time that a job spends in Do.
 		within clock.Millis
-		// least is how many jobs must be done all the same.
+		// least is the minimum number of jobs that must be run.
 		least int
 	}{
 		{"as estimated", 4, 200},
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestStalledJobChargeIsBounded has a process stand still for a minute in the middle of a large job.
+// A process is stalled for a minute within a large job: other jobs must be admitted again after a second.
 func TestStalledJobChargeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
@@ -59,8 +59,8 @@
 	is.True(w.Do(job))
 }
 
-// TestInterruptedJobChargeIsBounded interrupts small jobs for some milliseconds each, as busy machines do. Nodes
-// that started gave each other the desired state without its targets, since the answer before had been interrupted.
+// Small jobs are interrupted for some milliseconds each, as on busy machines, and must not exhaust the share: starting
+// nodes once sent each other the desired state without its targets, since the previous response had been interrupted.
 func TestInterruptedJobChargeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
