--- a/delta/delta.go
+++ b/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta makes a value small for a receiver that holds an earlier one: what both have in common is
-// named and not sent. A receiver that holds none gets the value compressed.
+// Package delta compresses a value against an earlier one that the receiver holds, so that common parts are not sent.
+// Without an earlier value, it is compressed on its own.
 package delta
 
 import (
@@ -11,20 +11,20 @@
 )
 
 const (
-	// dictID marks a value that was packed against another one.
+	// dictID is the zstd dictionary ID of the base value.
 	dictID = 1
-	// minBase is the smallest value, in bytes, that is worth packing against.
+	// minBase is the size, in bytes, below which a base is not used.
 	minBase = 64
-	// minWindow and mostWindow bound, in bytes, how far back equal parts are found. The window holds
-	// both values, since most of the newer one stands somewhere in the older.
+	// minWindow and maxWindow bound the zstd window, in bytes. The window covers both values, since most of the newer one
+	// occurs in the older one.
 	minWindow = 64 << 10
 	maxWindow = 8 << 20
 )
 
-// pooledWindow is the largest value, in bytes, for which an encoder without a base is kept and used again.
+// pooledWindow is the largest value, in bytes, that is packed with a pooled encoder.
 const pooledWindow = 256 << 10
 
-// pooledEncoders are encoders without a base: making one costs more than a small value takes.
+// pooledEncoders are encoders without a base. Creating one costs more than packing a small value.
 var pooledEncoders = sync.Pool{New: func() any {
 	w, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(pooledWindow))
@@ -34,7 +34,7 @@
 	return w
 }}
 
-// Pack returns the value, to be unpacked with the same base. A base of less than 64 bytes is not used.
+// Pack returns the packed value, to be unpacked with the same base. A base of less than 64 bytes is not used.
 func Pack(base, value []byte) (packed []byte, err error) {
 	defer func() { err = errors.Wrap(err, "pack value") }()
 	if len(base) < minBase && len(value) <= pooledWindow {
@@ -57,7 +57,7 @@
 	return packed, w.Close()
 }
 
-// Unpack returns the value of at most so many bytes that was packed against the base.
+// Unpack returns the value that was packed against the base. It fails if the value is larger than maxSize bytes.
 func Unpack(base, packed []byte, maxSize int) (value []byte, err error) {
 	defer func() { err = errors.Wrap(err, "unpack value") }()
 	opts := []zstd.DOption{
@@ -75,7 +75,7 @@
 	return r.DecodeAll(packed, nil)
 }
 
-// windowSize returns the power of two that holds so many bytes, within bounds.
+// windowSize returns the smallest power of two above the number of bytes, within the bounds of a window.
 func windowSize(bytes int) int {
 	return min(max(1<<bits.Len(uint(bytes)), minWindow), maxWindow)
 }
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -14,7 +14,7 @@
 
 const maxSize = 8 << 20
 
-// rows returns so many lines with names by chance, the same for the same seed.
+// rows returns count pseudo-random lines, determined by the seed.
 func rows(seed uint64, count int) [][]byte {
 	draw := rand.New(rand.NewPCG(seed, 1))
 	list := make([][]byte, count)
@@ -24,7 +24,7 @@
 	return list
 }
 
-// TestSizes measures 4,200 rows of 64 bytes, changed a little and grown by a third.
+// TestSizes bounds the packed size of 4,200 rows of 64 bytes after typical changes.
 func TestSizes(t *testing.T) {
 	old := rows(1, 4200)
 	grown := append(slices.Clone(old), rows(2, 1400)...)
@@ -75,7 +75,7 @@
 	})
 }
 
-// TestMaxSize unpacks a small message that stands for a large value.
+// A small message that expands to a large value must be rejected.
 func TestMaxSize(t *testing.T) {
 	is := is.New(t)
 	packed, err := delta.Pack(nil, make([]byte, 1<<20))
@@ -84,7 +84,7 @@
 	is.True(err != nil)
 }
 
-// FuzzUnpack gives garbage, against a base and without one: it may fail, and must not do more.
+// FuzzUnpack unpacks arbitrary input, with and without a base: it may fail, but must respect the size bound.
 func FuzzUnpack(f *testing.F) {
 	base := bytes.Join(rows(1, 4), nil)
 	packed, _ := delta.Pack(base, bytes.Join(rows(1, 5), nil))
--- a/delta/seed_test.go
+++ b/delta/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Draws are the same on every run, unless -rapid.seed says otherwise; 0 draws at random.
+// Property tests use a fixed seed unless -rapid.seed is set; 0 selects a random one.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
