--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -42,8 +42,8 @@
 type Progress struct {
 	// Ran counts the attempts that may have run, and Tried the targets that the request was sent to.
 	Ran, Tried int
-	// TimeLeft is the time until the deadline, and TypicalTime the usual service time.
-	TimeLeft, TypicalTime clock.Millis
+	// TimeLeft is the time until the deadline, and ServiceTime the usual service time.
+	TimeLeft, ServiceTime clock.Millis
 	// CallerGone says that the caller has disconnected.
 	CallerGone bool
 	// Stopping says that the node is shutting down and has no time for another attempt.
@@ -94,7 +94,7 @@
 
 // canRetry reports whether another attempt is possible and can meet the deadline.
 func (p Policy) canRetry(at Progress) bool {
-	return !p.Streamed && !at.Stopping && at.Tried < MaxTargets && float64(at.TimeLeft) >= minTimeShare*float64(at.TypicalTime)
+	return !p.Streamed && !at.Stopping && at.Tried < MaxTargets && float64(at.TimeLeft) >= minTimeShare*float64(at.ServiceTime)
 }
 
 // CanHedge reports whether a second attempt may run concurrently with the first.
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -15,7 +15,7 @@
 var (
 	once       = attempt.Policy{MaxAttempts: 3}
 	repeatable = attempt.Policy{Repeatable: true, MaxAttempts: 2}
-	plenty     = attempt.Progress{Tried: 1, TimeLeft: 3000, TypicalTime: 300}
+	plenty     = attempt.Progress{Tried: 1, TimeLeft: 3000, ServiceTime: 300}
 )
 
 // with returns plenty, modified by change.
--- a/door/arrived_test.go
+++ b/door/arrived_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// visit returns an idle connection to the server that has carried one request.
-func visit(t *testing.T, address string) (net.Conn, *bufio.Reader) {
+// dialIdle returns an idle connection to the server that has carried one request.
+func dialIdle(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -65,7 +65,7 @@
 	var conns []net.Conn
 	var readers []*bufio.Reader
 	for range 200 {
-		c, r := visit(t, address)
+		c, r := dialIdle(t, address)
 		conns, readers = append(conns, c), append(readers, r)
 	}
 	eventually(t, func() bool { return d.Counts().Idle == len(conns) })
@@ -91,7 +91,7 @@
 		is := is.New(t)
 		d, address := open(t, 50*time.Millisecond)
 		go func() { _ = d.Serve() }()
-		c, r := visit(t, address)
+		c, r := dialIdle(t, address)
 		if early == 1 {
 			_, _ = io.WriteString(c, request("/one"))
 			time.Sleep(20 * time.Millisecond)
--- a/framing/watch_test.go
+++ b/framing/watch_test.go
@@ -25,14 +25,14 @@
 	chunks  = "5\r\nhello\r\n0\r\n\r\n"
 )
 
-// watched reads through a Filter.
-type watched struct {
-	watch framing.Filter
-	r     io.Reader
+// filtered reads through a Filter.
+type filtered struct {
+	filter framing.Filter
+	r      io.Reader
 }
 
-func (w *watched) Read(p []byte) (int, error) {
-	return w.watch.Read(w.r, p)
+func (w *filtered) Read(p []byte) (int, error) {
+	return w.filter.Read(w.r, p)
 }
 
 // cases are byte streams sent by clients.
@@ -78,10 +78,10 @@
 		} {
 			t.Run(c.name+" "+name, func(t *testing.T) {
 				is := is.New(t)
-				w := &watched{r: by(strings.NewReader(c.send))}
+				w := &filtered{r: by(strings.NewReader(c.send))}
 				list, err := requests(w)
 				is.Equal(len(list), c.through)
-				is.Equal(w.watch.Ambiguous(), c.ambiguous)
+				is.Equal(w.filter.Ambiguous(), c.ambiguous)
 				is.True(c.ambiguous || errors.Is(err, io.EOF) || errors.Is(err, errVersion))
 			})
 		}
@@ -148,11 +148,11 @@
 
 type conn struct {
 	net.Conn
-	watch framing.Filter
+	filter framing.Filter
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	return c.watch.Read(c.Conn, p)
+	return c.filter.Read(c.Conn, p)
 }
 
 // FuzzFilter compares reading with net/http alone and through a Filter. The Filter must end at the first request that
@@ -166,10 +166,10 @@
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		want, ambiguous, refused := firstAmbiguous(sent)
 		for _, r := range []io.Reader{bytes.NewReader(sent), iotest.OneByteReader(bytes.NewReader(sent))} {
-			w := &watched{r: r}
+			w := &filtered{r: r}
 			got, err := requests(w)
-			if len(got) > len(want) || len(got) < len(want) && !w.watch.Ambiguous() || w.watch.Ambiguous() != ambiguous && !refused {
-				t.Fatalf("%d requests, ambiguous %v and %v, not %d and %v: %q", len(got), w.watch.Ambiguous(), err, len(want), ambiguous, sent)
+			if len(got) > len(want) || len(got) < len(want) && !w.filter.Ambiguous() || w.filter.Ambiguous() != ambiguous && !refused {
+				t.Fatalf("%d requests, ambiguous %v and %v, not %d and %v: %q", len(got), w.filter.Ambiguous(), err, len(want), ambiguous, sent)
 			}
 			for i := range got {
 				if got[i] != want[i] {
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -279,7 +279,7 @@
 // progress is how far the request has come.
 func (x *exchange) progress() attempt.Progress {
 	return attempt.Progress{
-		Ran: x.ran, Tried: len(x.tried), TimeLeft: x.deadline - x.node.clock.Now(), TypicalTime: x.service.pool.Usual(),
+		Ran: x.ran, Tried: len(x.tried), TimeLeft: x.deadline - x.node.clock.Now(), ServiceTime: x.service.pool.Usual(),
 		CallerGone: x.callerLeft(), Stopping: x.node.leaving.ends(),
 	}
 }
--- a/pacer/work.go
+++ b/pacer/work.go
@@ -41,16 +41,16 @@
 
 // Do runs the job if the share admits it, and reports whether it did. The job returns its estimated time on an idle
 // processor, in milliseconds; if it took longer, the measured time is charged.
-func (w *Runner) Do(job func() (millis float64)) (done bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.pacer.Admits() {
+func (r *Runner) Do(job func() (millis float64)) (done bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.pacer.Admits() {
 		return false
 	}
-	start := w.clock.Now()
+	start := r.clock.Now()
 	estimate := job()
-	took := float64(w.clock.Now()-start) / w.share.MeasuredFraction
+	took := float64(r.clock.Now()-start) / r.share.MeasuredFraction
 	counts := min(max(estimate, took), maxSlowdown*estimate)
-	w.pacer.Charge(min(counts/w.share.Fraction, float64(maxChargePerJob)))
+	r.pacer.Charge(min(counts/r.share.Fraction, float64(maxChargePerJob)))
 	return true
 }
--- a/pacer/work_test.go
+++ b/pacer/work_test.go
@@ -16,7 +16,7 @@
 		span     = 20 * clock.Second
 		estimate = 23.0
 	)
-	part := pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100}
+	share := pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100}
 	cases := []struct {
 		name string
 		// within is the time that a job spends in Do.
@@ -32,16 +32,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := clock.NewManual(1000)
-			w := pacer.NewRunner(m, part)
+			w := pacer.NewRunner(m, share)
 			done := 0
 			for end := m.Now() + span; m.Now() < end; m.Advance(1) {
 				if w.Do(func() float64 { m.Advance(c.within); return estimate }) {
 					done++
 				}
 			}
-			whole := float64(c.within) / part.MeasuredFraction
+			whole := float64(c.within) / share.MeasuredFraction
 			t.Logf("%d jobs of %.0f ms in %d ms", done, whole, span)
-			is.True(float64(done)*whole <= part.Fraction*float64(span)+float64(part.MaxAhead)+2*whole)
+			is.True(float64(done)*whole <= share.Fraction*float64(span)+float64(share.MaxAhead)+2*whole)
 			is.True(done >= c.least)
 		})
 	}
--- a/proof/replay_test.go
+++ b/proof/replay_test.go
@@ -241,7 +241,7 @@
 		ask.Not = append(ask.Not, l.Target)
 		end, out := p.send(ctx, node, k, l, o, r)
 		l.Done(out, false)
-		at.Tried, at.TimeLeft, at.TypicalTime = len(ask.Not), k.Deadline-clock.FromDuration(time.Since(began)), pl.Usual()
+		at.Tried, at.TimeLeft, at.ServiceTime = len(ask.Not), k.Deadline-clock.FromDuration(time.Since(began)), pl.Usual()
 		if out != pool.Unreachable && out != pool.Shed {
 			at.Ran++
 		}
