--- a/door/kinds_test.go
+++ b/door/kinds_test.go
@@ -34,16 +34,16 @@
 	go func() { _ = d.Serve() }()
 	large := strings.Repeat("b", 300_000)
 	kinds := []struct{ name, before, after string }{
-		{"one go", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
+		{"sent at once", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{"half a header", "GET / HT", "TP/1.1\r\nHost: x\r\n\r\n"},
 		{"one byte", "G", "ET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{"half a body", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\n" + large[:150_000], large[150_000:]},
-		{"chunks", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", "0\r\n\r\n"},
+		{"chunked", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", "0\r\n\r\n"},
 		{"expect", "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", "body"},
-		{"1.0", "GET / HTTP/1.0\r\n", "\r\n"},
-		{"1.0 kept", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n", "\r\n"},
+		{"HTTP/1.0", "GET / HTTP/1.0\r\n", "\r\n"},
+		{"HTTP/1.0 keep-alive", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n", "\r\n"},
 		{"head", "HEAD / HTTP/1.1\r\n", "Host: x\r\n\r\n"},
-		{"whole", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
+		{"complete before shutdown", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
 	}
 	const each = 30
 	var wg, begun sync.WaitGroup
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -112,9 +112,9 @@
 		name    string
 		answers []string
 	}{
-		{"extra, at once", []string{okResponse("1", "one") + okResponse("1", "one"), okResponse("2", "two")}},
-		{"late, in the next one's place", []string{okResponse("1", "one"), okResponse("1", "one") + okResponse("2", "two")}},
-		{"bytes that are no answer", []string{okResponse("1", "one") + "rubbish", okResponse("2", "two")}},
+		{"extra response, at once", []string{okResponse("1", "one") + okResponse("1", "one"), okResponse("2", "two")}},
+		{"late response, before the next one", []string{okResponse("1", "one"), okResponse("1", "one") + okResponse("2", "two")}},
+		{"bytes that are no response", []string{okResponse("1", "one") + "rubbish", okResponse("2", "two")}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -157,12 +157,12 @@
 // A response that is truncated or malformed must fail and must not be retried.
 func TestTruncatedResponsesFail(t *testing.T) {
 	for name, answer := range map[string]string{
-		"length":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
-		"chunks":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"header":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\n",
-		"no answer":  "",
-		"not HTTP":   "hello\r\n\r\n",
-		"long lines": "HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 100<<10),
+		"length":      "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
+		"chunks":      "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+		"header":      "HTTP/1.1 200 OK\r\nX-Id: 1\r\n",
+		"no response": "",
+		"not HTTP":    "hello\r\n\r\n",
+		"long lines":  "HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 100<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
