--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -81,7 +81,7 @@
 			for _, more := range []func() bool{always, never} {
 				at := with(func(p *attempt.Progress) { p.TimeLeft = left })
 				step := once.Next(e, at, more)
-				if may := e.Unsent || e.NotRun; !may && (step == attempt.Retry || step == attempt.NotRun) {
+				if notRun := e.Unsent || e.NotRun; !notRun && (step == attempt.Retry || step == attempt.NotRun) {
 					t.Errorf("%+v: %v", e, step)
 				}
 			}
--- a/door/arrived_test.go
+++ b/door/arrived_test.go
@@ -33,7 +33,7 @@
 // 460 ms before. The listener drained the queue for a fixed time, which had passed before its first check.
 func TestStopAcceptingServesQueuedConnectionsAfterStall(t *testing.T) {
 	is := is.New(t)
-	d, address := open(t, 0)
+	d, address := newServer(t, 0)
 	var conns []net.Conn
 	for i := range 40 {
 		c, err := net.Dial("tcp", address)
@@ -60,7 +60,7 @@
 // not look at available data. A slow process lost more of them.
 func TestCloseWhenIdleAnswersArrivedRequests(t *testing.T) {
 	is := is.New(t)
-	d, address := open(t, 0)
+	d, address := newServer(t, 0)
 	go func() { _ = d.Serve() }()
 	var conns []net.Conn
 	var readers []*bufio.Reader
@@ -89,7 +89,7 @@
 func TestCloseWhenIdleAnswersPipelinedRequest(t *testing.T) {
 	for _, early := range []int{1, 12} { // net/http reads one byte in the background, or all that arrived with a request
 		is := is.New(t)
-		d, address := open(t, 50*time.Millisecond)
+		d, address := newServer(t, 50*time.Millisecond)
 		go func() { _ = d.Serve() }()
 		c, r := dialIdle(t, address)
 		if early == 1 {
--- a/door/conn.go
+++ b/door/conn.go
@@ -118,10 +118,10 @@
 
 // noteRead notes that data has been read. The server reads a single byte only in the background, while a
 // request is handled.
-func (c *conn) noteRead(one bool) {
+func (c *conn) noteRead(singleByte bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nextStarted = one && !c.idle
+	c.nextStarted = singleByte && !c.idle
 	c.setBusyLocked()
 }
 
--- a/door/conn_test.go
+++ b/door/conn_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 )
 
-// A crossing is a connection that is told to close while a read returns the first byte of a request.
-type crossing struct {
+// A closingConn is a connection that is told to close while a read returns the first byte of a request.
+type closingConn struct {
 	net.Conn
 	hangUp   func()
 	deadline time.Time
 }
 
 // Read implements net.Conn.
-func (c *crossing) Read([]byte) (int, error) {
+func (c *closingConn) Read([]byte) (int, error) {
 	c.hangUp()
 	return 1, nil
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *crossing) SetReadDeadline(t time.Time) error {
+func (c *closingConn) SetReadDeadline(t time.Time) error {
 	c.deadline = t
 	return nil
 }
@@ -31,7 +31,7 @@
 // of the request is read.
 func TestFirstByteRestoresDeadline(t *testing.T) {
 	is := is.New(t)
-	x := &crossing{}
+	x := &closingConn{}
 	c := &conn{Conn: x, server: &Server{}, idle: true}
 	x.hangUp = c.closeWhenIdle
 	header := time.Now().Add(time.Second)
--- a/door/door_test.go
+++ b/door/door_test.go
@@ -17,8 +17,8 @@
 	"github.com/tinladder/tinladder/emulate"
 )
 
-// open returns a server whose requests take the given time, and its address.
-func open(t *testing.T, takes time.Duration) (*door.Server, string) {
+// newServer returns a server whose requests take the given time, and its address.
+func newServer(t *testing.T, takes time.Duration) (*door.Server, string) {
 	t.Helper()
 	address := emulate.Addresses(1)[0]
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 // 6 requests in three runs failed with "connection reset by peer" 1.8 s after SIGTERM, at "doors_shut".
 func TestStopAcceptingServesQueuedConnections(t *testing.T) {
 	is := is.New(t)
-	d, address := open(t, 0)
+	d, address := newServer(t, 0)
 	var conns []net.Conn
 	for i := range 40 {
 		c, err := net.Dial("tcp", address)
@@ -77,7 +77,7 @@
 // Connections are closed while one request is half read, another one is handled, and a third connection is idle.
 func TestCloseWhenIdleAnswersReadRequests(t *testing.T) {
 	is := is.New(t)
-	d, address := open(t, 100*time.Millisecond)
+	d, address := newServer(t, 100*time.Millisecond)
 	go func() { _ = d.Serve() }()
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", address)
--- a/door/hangup_test.go
+++ b/door/hangup_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// A held connection blocks in SetReadDeadline.
-type held struct {
+// A blockingConn blocks in SetReadDeadline.
+type blockingConn struct {
 	net.Conn
 	entered, free chan bool
 }
 
 // SetReadDeadline implements net.Conn.
-func (h *held) SetReadDeadline(time.Time) error {
+func (h *blockingConn) SetReadDeadline(time.Time) error {
 	close(h.entered)
 	<-h.free
 	return nil
@@ -28,7 +28,7 @@
 func TestCloseWhenIdleReleasesLock(t *testing.T) {
 	is := is.New(t)
 	d := &Server{conns: map[*conn]struct{}{}}
-	h := &held{entered: make(chan bool), free: make(chan bool)}
+	h := &blockingConn{entered: make(chan bool), free: make(chan bool)}
 	other := &conn{server: d}
 	d.addConn(&conn{Conn: h, server: d, idle: true})
 	go d.CloseWhenIdle()
--- a/door/idle_test.go
+++ b/door/idle_test.go
@@ -39,7 +39,7 @@
 // Without a pending request, the idle timeout closes the connection.
 func TestIdleTimeoutClosesConnection(t *testing.T) {
 	is := is.New(t)
-	d, address := openIdle(t, 50*time.Millisecond)
+	d, address := newIdleServer(t, 50*time.Millisecond)
 	go func() { _ = d.Serve() }()
 	c, err := net.Dial("tcp", address)
 	is.NoErr(err)
@@ -51,7 +51,7 @@
 	is.NoErr(err) // EOF
 }
 
-func openIdle(t *testing.T, idle time.Duration) (*Server, string) {
+func newIdleServer(t *testing.T, idle time.Duration) (*Server, string) {
 	t.Helper()
 	d, err := Listen("callers", "127.0.0.1:0", &http.Server{Handler: http.NotFoundHandler(), IdleTimeout: time.Minute}, func() time.Duration { return idle })
 	if err != nil {
--- a/door/listener.go
+++ b/door/listener.go
@@ -68,14 +68,14 @@
 
 // connPending reports whether the accept queue holds a connection. An exceeded deadline does not prove that it is empty:
 // Accept may have failed without checking the queue.
-func (l *listener) connPending() (waits bool) {
+func (l *listener) connPending() (pending bool) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
 	}
 	_ = raw.Control(func(fd uintptr) {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-		waits = err == nil && n > 0
+		pending = err == nil && n > 0
 	})
-	return waits
+	return pending
 }
--- a/forward/look.go
+++ b/forward/look.go
@@ -38,16 +38,16 @@
 // Probe reports whether anything listens at the address, using a new connection. A failure of one connection,
 // such as a cut link or an idle connection closed by the target, leaves the address Listening or Unreachable;
 // the end of the process makes it Refused.
-func (p *ConnPool) Probe(ctx context.Context, address string) (d ProbeResult) {
+func (p *ConnPool) Probe(ctx context.Context, address string) (r ProbeResult) {
 	for i := range probeAttempts {
 		if i > 0 {
 			time.Sleep(probeInterval)
 		}
-		if d = p.probeOnce(ctx, address); d != Listening {
-			return d
+		if r = p.probeOnce(ctx, address); r != Listening {
+			return r
 		}
 	}
-	return d
+	return r
 }
 
 func (p *ConnPool) probeOnce(ctx context.Context, address string) ProbeResult {
