--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -13,12 +13,12 @@
 func never() bool  { return false }
 
 var (
-	once       = attempt.Plan{Most: 3}
-	repeatable = attempt.Plan{Repeatable: true, Most: 2}
-	plenty     = attempt.Progress{Tried: 1, Left: 3000, Usual: 300}
+	once       = attempt.Policy{MaxAttempts: 3}
+	repeatable = attempt.Policy{Repeatable: true, MaxAttempts: 2}
+	plenty     = attempt.Progress{Tried: 1, TimeLeft: 3000, ServiceTime: 300}
 )
 
-// with returns the progress with one thing changed.
+// with returns plenty, modified by change.
 func with(change func(p *attempt.Progress)) attempt.Progress {
 	p := plenty
 	change(&p)
@@ -27,39 +27,39 @@
 
 func TestNext(t *testing.T) {
 	ran := with(func(p *attempt.Progress) { p.Ran = 1 })
-	failed := attempt.End{Answered: true, Failed: true}
-	shed := attempt.End{Answered: true, Failed: true, NotRun: true}
-	unsent, lost := attempt.End{Unsent: true}, attempt.End{}
+	failed := attempt.Result{Answered: true, Failed: true}
+	shed := attempt.Result{Answered: true, Failed: true, NotRun: true}
+	unsent, lost := attempt.Result{Unsent: true}, attempt.Result{}
 	cases := []struct {
 		name string
-		plan attempt.Plan
-		end  attempt.End
+		plan attempt.Policy
+		end  attempt.Result
 		at   attempt.Progress
 		more func() bool
 		want attempt.Step
 	}{
-		{"a good answer", once, attempt.End{Answered: true}, ran, always, attempt.Answer},
-		{"a failure of a run-once request", once, failed, ran, always, attempt.Answer},
-		{"a failure of a repeatable one", repeatable, failed, ran, always, attempt.Again},
-		{"the same beyond the budget", repeatable, failed, ran, never, attempt.Answer},
-		{"the same after all its attempts", repeatable, failed, with(func(p *attempt.Progress) { p.Ran = 2 }), always, attempt.Answer},
-		{"run once, turned away", once, shed, plenty, always, attempt.Again},
-		{"turned away beyond the budget", once, shed, plenty, never, attempt.NotRun},
-		{"turned away by six", once, shed, with(func(p *attempt.Progress) { p.Tried = 6 }), always, attempt.NotRun},
-		{"no connection costs no budget", once, unsent, plenty, never, attempt.Again},
-		{"no connection, no time", once, unsent, with(func(p *attempt.Progress) { p.Left = 100 }), always, attempt.NotRun},
-		{"run once, no answer", once, lost, ran, always, attempt.Unknown},
-		{"repeatable, no answer, the node ends", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.Ending = 1, true }), always, attempt.Unknown},
-		{"turned away, the node ends", once, shed, with(func(p *attempt.Progress) { p.Ending = true }), always, attempt.NotRun},
-		{"repeatable, no answer", repeatable, lost, ran, always, attempt.Again},
-		{"repeatable, no answer, no time", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.Left = 1, 100 }), always, attempt.Unknown},
-		{"a body that was read cannot be sent again", attempt.Plan{Streamed: true, Most: 3}, shed, plenty, always, attempt.NotRun},
-		{"one target only: turned away", attempt.Plan{Repeatable: true, Most: 3, Sole: true}, shed, plenty, always, attempt.NotRun},
-		{"one target only: no answer", attempt.Plan{Repeatable: true, Most: 3, Sole: true}, lost, ran, always, attempt.Unknown},
-		{"one target only: no connection", attempt.Plan{Repeatable: true, Most: 3, Sole: true}, unsent, plenty, always, attempt.Again},
-		{"the caller of a repeatable request left", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerLeft = 1, true }), always, attempt.Gone},
-		{"the caller of a run-once request left, it ran", once, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerLeft = 1, true }), always, attempt.Unknown},
-		{"the caller of a run-once request left, it did not run", once, unsent, with(func(p *attempt.Progress) { p.CallerLeft = true }), always, attempt.Gone},
+		{"success", once, attempt.Result{Answered: true}, ran, always, attempt.Respond},
+		{"failure of a run-once request", once, failed, ran, always, attempt.Respond},
+		{"failure of a repeatable request", repeatable, failed, ran, always, attempt.Retry},
+		{"the same, budget exhausted", repeatable, failed, ran, never, attempt.Respond},
+		{"the same, all attempts used", repeatable, failed, with(func(p *attempt.Progress) { p.Ran = 2 }), always, attempt.Respond},
+		{"run once, rejected", once, shed, plenty, always, attempt.Retry},
+		{"rejected, budget exhausted", once, shed, plenty, never, attempt.NotRun},
+		{"rejected by six targets", once, shed, with(func(p *attempt.Progress) { p.Tried = 6 }), always, attempt.NotRun},
+		{"no connection, budget not needed", once, unsent, plenty, never, attempt.Retry},
+		{"no connection, no time", once, unsent, with(func(p *attempt.Progress) { p.TimeLeft = 100 }), always, attempt.NotRun},
+		{"run once, no response", once, lost, ran, always, attempt.Unknown},
+		{"repeatable, no response, node is stopping", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.Stopping = 1, true }), always, attempt.Unknown},
+		{"rejected, node is stopping", once, shed, with(func(p *attempt.Progress) { p.Stopping = true }), always, attempt.NotRun},
+		{"repeatable, no response", repeatable, lost, ran, always, attempt.Retry},
+		{"repeatable, no response, no time", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.TimeLeft = 1, 100 }), always, attempt.Unknown},
+		{"streamed body cannot be sent again", attempt.Policy{Streamed: true, MaxAttempts: 3}, shed, plenty, always, attempt.NotRun},
+		{"single target: rejected", attempt.Policy{Repeatable: true, MaxAttempts: 3, SingleTarget: true}, shed, plenty, always, attempt.NotRun},
+		{"single target: no response", attempt.Policy{Repeatable: true, MaxAttempts: 3, SingleTarget: true}, lost, ran, always, attempt.Unknown},
+		{"single target: no connection", attempt.Policy{Repeatable: true, MaxAttempts: 3, SingleTarget: true}, unsent, plenty, always, attempt.Retry},
+		{"caller of a repeatable request left", repeatable, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerGone = 1, true }), always, attempt.Canceled},
+		{"caller of a run-once request left, may have run", once, lost, with(func(p *attempt.Progress) { p.Ran, p.CallerGone = 1, true }), always, attempt.Unknown},
+		{"caller of a run-once request left, not run", once, unsent, with(func(p *attempt.Progress) { p.CallerGone = true }), always, attempt.Canceled},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -69,18 +69,19 @@
 	}
 }
 
-// TestRunOnceIsNeverTriedAgainAfterItMayHaveRun goes through all that can be said of an attempt.
-func TestRunOnceIsNeverTriedAgainAfterItMayHaveRun(t *testing.T) {
+// A run-once request must never be retried after it may have run, nor be reported as not run, whatever the result of
+// the attempt.
+func TestRunOnceIsNotRetriedAfterItMayHaveRun(t *testing.T) {
 	for bits := range 16 {
-		e := attempt.End{Answered: bits&1 > 0, Failed: bits&2 > 0, NotRun: bits&4 > 0, Unsent: bits&8 > 0}
+		e := attempt.Result{Answered: bits&1 > 0, Failed: bits&2 > 0, NotRun: bits&4 > 0, Unsent: bits&8 > 0}
 		if e.NotRun && !e.Answered || e.Unsent && e.Answered {
-			continue // cannot be
+			continue // impossible
 		}
 		for _, left := range []clock.Millis{0, 3000} {
 			for _, more := range []func() bool{always, never} {
-				at := with(func(p *attempt.Progress) { p.Left = left })
+				at := with(func(p *attempt.Progress) { p.TimeLeft = left })
 				step := once.Next(e, at, more)
-				if may := e.Unsent || e.NotRun; !may && (step == attempt.Again || step == attempt.NotRun) {
+				if notRun := e.Unsent || e.NotRun; !notRun && (step == attempt.Retry || step == attempt.NotRun) {
 					t.Errorf("%+v: %v", e, step)
 				}
 			}
@@ -88,18 +89,18 @@
 	}
 }
 
-// TestBudgetIsAskedOnlyForWhatIsMade counts how often the budget is asked: each time counts as one attempt of the fleet.
-func TestBudgetIsAskedOnlyForWhatIsMade(t *testing.T) {
+// Each call of the budget counts as one retry of the fleet, so it must be called only for retries that are made.
+func TestBudgetIsTakenOnlyForRetries(t *testing.T) {
 	for _, c := range []struct {
-		end  attempt.End
+		end  attempt.Result
 		at   attempt.Progress
 		want int
 	}{
-		{attempt.End{Answered: true}, plenty, 0},
-		{attempt.End{Unsent: true}, plenty, 0},
-		{attempt.End{Answered: true, Failed: true}, plenty, 1},
-		{attempt.End{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.Left = 10 }), 0},
-		{attempt.End{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.CallerLeft = true }), 0},
+		{attempt.Result{Answered: true}, plenty, 0},
+		{attempt.Result{Unsent: true}, plenty, 0},
+		{attempt.Result{Answered: true, Failed: true}, plenty, 1},
+		{attempt.Result{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.TimeLeft = 10 }), 0},
+		{attempt.Result{Answered: true, Failed: true}, with(func(p *attempt.Progress) { p.CallerGone = true }), 0},
 	} {
 		t.Run(fmt.Sprintf("%+v", c.end), func(t *testing.T) {
 			is := is.New(t)
@@ -110,9 +111,9 @@
 	}
 }
 
-func TestHedges(t *testing.T) {
+func TestCanHedge(t *testing.T) {
 	is := is.New(t)
-	is.True(attempt.Plan{Repeatable: true, Most: 2}.Hedges(0))
-	is.True(!attempt.Plan{Repeatable: true, Most: 2, Sole: true}.Hedges(0)) // targets crashed under it
-	is.True(!once.Hedges(0))
+	is.True(attempt.Policy{Repeatable: true, MaxAttempts: 2}.CanHedge(0))
+	is.True(!attempt.Policy{Repeatable: true, MaxAttempts: 2, SingleTarget: true}.CanHedge(0)) // targets crashed under it
+	is.True(!once.CanHedge(0))
 }
--- a/door/arrived_test.go
+++ b/door/arrived_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// visit returns a connection to the door that has had an answer, and rests.
-func visit(t *testing.T, address string) (net.Conn, *bufio.Reader) {
+// dialIdle returns an idle connection to the server that has carried one request.
+func dialIdle(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -29,12 +29,11 @@
 	return c, r
 }
 
-// A node whose process stood still for a quarter of a second around its end reset 118 requests of one stop: their
-// connections waited to be accepted, sent up to 460 ms before. The listener went by the time since it was told to close,
-// and that was over when the process ran again, before it had looked even once.
-func TestShutServesWhoHasConnectedAfterAStall(t *testing.T) {
+// A process that was stalled for 250 ms during shutdown reset 118 requests on connections in its accept queue, sent up to
+// 460 ms before. The listener drained the queue for a fixed time, which had passed before its first check.
+func TestStopAcceptingServesQueuedConnectionsAfterStall(t *testing.T) {
 	is := is.New(t)
-	d, address := open(t, 0)
+	d, address := newServer(t, 0)
 	var conns []net.Conn
 	for i := range 40 {
 		c, err := net.Dial("tcp", address)
@@ -44,8 +43,8 @@
 		is.NoErr(err)
 		conns = append(conns, c)
 	}
-	d.Shut()
-	time.Sleep(300 * time.Millisecond) // nobody accepts
+	d.StopAccepting()
+	time.Sleep(300 * time.Millisecond) // nothing is accepted yet
 	served := make(chan error, 1)
 	go func() { served <- d.Serve() }()
 	for i, c := range conns {
@@ -53,28 +52,28 @@
 		is.NoErr(err)
 		is.Equal(got, fmt.Sprint("answer to /", i))
 	}
-	is.True(<-served != nil) // nobody else comes in
-	is.True(d.IsShut())
+	is.True(<-served != nil) // the listener is closed
+	is.True(d.AcceptStopped())
 }
 
-// Requests that had come to the machine of a node, and that it had not read yet as it hung up, were reset: a read whose
-// deadline is over does not look at what is there. The slower the node, the more of them.
-func TestHangUpAnswersWhatHasArrived(t *testing.T) {
+// Requests that had arrived in the socket but were unread at shutdown were reset, since a read past its deadline does
+// not look at available data. A slow process lost more of them.
+func TestCloseWhenIdleAnswersArrivedRequests(t *testing.T) {
 	is := is.New(t)
-	d, address := open(t, 0)
+	d, address := newServer(t, 0)
 	go func() { _ = d.Serve() }()
 	var conns []net.Conn
 	var readers []*bufio.Reader
 	for range 200 {
-		c, r := visit(t, address)
+		c, r := dialIdle(t, address)
 		conns, readers = append(conns, c), append(readers, r)
 	}
-	eventually(t, func() bool { return d.Counts().Resting == len(conns) })
+	eventually(t, func() bool { return d.Counts().Idle == len(conns) })
 	for i, c := range conns {
 		_, err := io.WriteString(c, request(fmt.Sprint("/", i)))
 		is.NoErr(err)
 	}
-	d.HangUp()
+	d.CloseWhenIdle()
 	lost := 0
 	for i, c := range conns {
 		got, err := answer(c, readers[i])
@@ -86,13 +85,13 @@
 	eventually(t, func() bool { return d.Counts().Open() == 0 })
 }
 
-// A request may come while the one before it is at work, in part. It has been read, if not by its handler.
-func TestHangUpAnswersWhatWasReadBesideAnother(t *testing.T) {
-	for _, early := range []int{1, 12} { // the library reads one byte beside a handler, or all that came with a request
+// Part of the next request is read while the current one is handled: both must be answered.
+func TestCloseWhenIdleAnswersPipelinedRequest(t *testing.T) {
+	for _, early := range []int{1, 12} { // net/http reads one byte in the background, or all that arrived with a request
 		is := is.New(t)
-		d, address := open(t, 50*time.Millisecond)
+		d, address := newServer(t, 50*time.Millisecond)
 		go func() { _ = d.Serve() }()
-		c, r := visit(t, address)
+		c, r := dialIdle(t, address)
 		if early == 1 {
 			_, _ = io.WriteString(c, request("/one"))
 			time.Sleep(20 * time.Millisecond)
@@ -104,7 +103,7 @@
 		is.NoErr(err)
 		is.Equal(got, "answer to /one")
 		time.Sleep(20 * time.Millisecond)
-		d.HangUp()
+		d.CloseWhenIdle()
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, request("/two")[early:])
 		got, err = answer(c, r)
--- a/door/idle_test.go
+++ b/door/idle_test.go
@@ -10,10 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// A connection that rests ends when its time is over. A process that stood still across that moment found the time over and
-// a request there, and looked at the time alone: the request was reset unread. Of 400 requests sent within 200 ms to a node
-// that stood still for 2 s around the end of their connections' rest, 65 got "unexpected EOF".
-func TestWhatHasArrivedIsReadWhenTheRestIsOver(t *testing.T) {
+// A process that was stalled across an idle deadline closed the connection without reading a request that had arrived.
+// Of 400 requests sent within 200 ms to a node stalled for 2 s around the idle deadline, 65 got "unexpected EOF".
+func TestIdleTimeoutReadsArrivedRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -24,7 +23,7 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, resting: true, kept: true, idle: func() time.Duration { return 10 * time.Millisecond }}
+	c := &conn{Conn: accepted, server: &Server{}, idle: true, answered: true, idleTimeout: func() time.Duration { return 10 * time.Millisecond }}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
 	const sent = "GET / HTTP/1.1\r\n"
 	_, err = io.WriteString(caller, sent)
@@ -34,13 +33,13 @@
 	n, err := c.Read(got)
 	is.NoErr(err)
 	is.Equal(string(got[:n]), sent)
-	is.True(!c.rests())
+	is.True(!c.isIdle())
 }
 
-// TestRestThatIsOverEndsTheConnection: without a request there, the time alone decides.
-func TestRestThatIsOverEndsTheConnection(t *testing.T) {
+// Without a pending request, the idle timeout closes the connection.
+func TestIdleTimeoutClosesConnection(t *testing.T) {
 	is := is.New(t)
-	d, address := openIdle(t, 50*time.Millisecond)
+	d, address := newIdleServer(t, 50*time.Millisecond)
 	go func() { _ = d.Serve() }()
 	c, err := net.Dial("tcp", address)
 	is.NoErr(err)
@@ -49,10 +48,10 @@
 	is.NoErr(err)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err = io.Copy(io.Discard, c)
-	is.NoErr(err) // its end
+	is.NoErr(err) // EOF
 }
 
-func openIdle(t *testing.T, idle time.Duration) (*Door, string) {
+func newIdleServer(t *testing.T, idle time.Duration) (*Server, string) {
 	t.Helper()
 	d, err := Listen("callers", "127.0.0.1:0", &http.Server{Handler: http.NotFoundHandler(), IdleTimeout: time.Minute}, func() time.Duration { return idle })
 	if err != nil {
--- a/door/kinds_test.go
+++ b/door/kinds_test.go
@@ -16,8 +16,8 @@
 	"github.com/tinladder/tinladder/emulate"
 )
 
-// TestEachKindOfRequestIsAnsweredAtTheEnd has requests of each kind begun at a door as it shuts and hangs up, many of each.
-func TestEachKindOfRequestIsAnsweredAtTheEnd(t *testing.T) {
+// Requests of each kind are partly sent when the server shuts down: all must be answered.
+func TestShutdownAnswersAllKindsOfRequests(t *testing.T) {
 	is := is.New(t)
 	address := emulate.Addresses(1)[0]
 	s := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,16 +34,16 @@
 	go func() { _ = d.Serve() }()
 	large := strings.Repeat("b", 300_000)
 	kinds := []struct{ name, before, after string }{
-		{"one go", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
+		{"sent at once", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{"half a header", "GET / HT", "TP/1.1\r\nHost: x\r\n\r\n"},
 		{"one byte", "G", "ET / HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{"half a body", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\n" + large[:150_000], large[150_000:]},
-		{"chunks", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", "0\r\n\r\n"},
+		{"chunked", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", "0\r\n\r\n"},
 		{"expect", "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", "body"},
-		{"1.0", "GET / HTTP/1.0\r\n", "\r\n"},
-		{"1.0 kept", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n", "\r\n"},
+		{"HTTP/1.0", "GET / HTTP/1.0\r\n", "\r\n"},
+		{"HTTP/1.0 keep-alive", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n", "\r\n"},
 		{"head", "HEAD / HTTP/1.1\r\n", "Host: x\r\n\r\n"},
-		{"whole", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
+		{"complete before shutdown", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", ""},
 	}
 	const each = 30
 	var wg, begun sync.WaitGroup
@@ -62,7 +62,7 @@
 				}
 				defer func() { _ = c.Close() }()
 				r := bufio.NewReader(c)
-				if i%2 == 0 { // on a connection that is used again
+				if i%2 == 0 { // on a reused connection
 					_, _ = io.WriteString(c, request("/first"))
 					if _, err := answer(c, r); err != nil {
 						t.Error(err)
@@ -99,11 +99,11 @@
 	}
 	begun.Wait()
 	time.Sleep(5 * time.Millisecond)
-	d.SendAway()
-	d.Shut()
-	d.HangUp()
+	d.DisableKeepAlives()
+	d.StopAccepting()
+	d.CloseWhenIdle()
 	close(ends)
 	wg.Wait()
 	is.Equal(lost, map[string]int{})
-	eventually(t, func() bool { return d.Counts().Open() == 0 && d.IsShut() })
+	eventually(t, func() bool { return d.Counts().Open() == 0 && d.AcceptStopped() })
 }
--- a/door/listener.go
+++ b/door/listener.go
@@ -11,71 +11,71 @@
 )
 
 const (
-	// lastLook is how long the listener looks for visitors at a time, once it is to close.
-	lastLook = time.Millisecond
-	// lastVisitors are the most that it takes in then: as many as the system keeps waiting. A bound on the time would reset
-	// all who wait where the process stands still for that long.
-	lastVisitors = 4096
+	// acceptPoll is the accept deadline while the listener drains its queue.
+	acceptPoll = time.Millisecond
+	// maxLateAccepts bounds the connections accepted while draining. It equals the kernel's accept queue. A time limit
+	// instead would reset all queued connections if the process was stalled for that long.
+	maxLateAccepts = 4096
 )
 
-// past ends at once what waits.
+// past is a deadline that makes pending calls fail at once.
 var past = time.Unix(1, 0)
 
-// A listener notes the connections of its door.
+// A listener registers the connections of its server.
 type listener struct {
 	*net.TCPListener
-	door *Door
-	idle func() time.Duration
-	// shuts says that it is to close once nobody waits, and late are those that it has taken in since; only Accept, which
-	// one goroutine calls, counts them.
-	shuts  atomic.Bool
-	late   int
-	closed atomic.Bool
+	server      *Server
+	idleTimeout func() time.Duration
+	// closing says that the listener closes once its accept queue is empty. lateAccepts counts the connections accepted
+	// since; only Accept, which one goroutine calls, uses it.
+	closing     atomic.Bool
+	lateAccepts int
+	closed      atomic.Bool
 }
 
-// shut has the listener close once those that have connected are in. The system completes connections by itself; closed
-// at once, the listener would reset those that wait to be accepted, with the first requests that were sent on them.
-func (l *listener) shut() {
-	l.shuts.Store(true)
+// stopAccepting makes the listener close once the queued connections are accepted. The kernel completes connections by
+// itself; an immediate close would reset those in the accept queue, along with the requests already sent on them.
+func (l *listener) stopAccepting() {
+	l.closing.Store(true)
 	_ = l.SetDeadline(past)
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
-	looking := false
+	polled := false
 	for {
 		nc, err := l.TCPListener.Accept()
 		if err == nil {
-			if l.shuts.Load() {
-				l.late++
+			if l.closing.Load() {
+				l.lateAccepts++
 			}
-			c := &conn{Conn: nc, door: l.door, idle: l.idle, resting: true}
-			l.door.opened(c)
+			c := &conn{Conn: nc, server: l.server, idleTimeout: l.idleTimeout, idle: true}
+			l.server.addConn(c)
 			return c, nil
 		}
 		switch {
-		case !l.shuts.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
+		case !l.closing.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
-		case l.late >= lastVisitors, looking && !l.waited():
+		case l.lateAccepts >= maxLateAccepts, polled && !l.connPending():
 			_ = l.Close()
 			l.closed.Store(true)
 			return nil, net.ErrClosed
 		}
-		looking = true
-		_ = l.SetDeadline(time.Now().Add(lastLook))
+		polled = true
+		_ = l.SetDeadline(time.Now().Add(acceptPoll))
 	}
 }
 
-// waited says whether somebody waits to be let in. That the deadline is over does not tell: the look that it ended may not
-// have been taken.
-func (l *listener) waited() (waits bool) {
+// connPending reports whether the accept queue holds a connection. An exceeded deadline does not prove that it is empty:
+// Accept may have failed without checking the queue.
+func (l *listener) connPending() (pending bool) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
 	}
 	_ = raw.Control(func(fd uintptr) {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-		waits = err == nil && n > 0
+		pending = err == nil && n > 0
 	})
-	return waits
+	return pending
 }
--- a/forward/send.go
+++ b/forward/send.go
@@ -13,103 +13,102 @@
 )
 
 const (
-	// wholeBytes is the largest body of an answer that is read before any of it is passed on.
-	wholeBytes = 256 << 10
-	// strayAnswers is how many answers to other requests are passed over before a connection is
-	// given up.
-	strayAnswers = 3
-	// strayBytes bounds the body of an answer that is passed over.
-	strayBytes = 1 << 20
+	// maxBufferedBody is the largest response body that is read completely before it is forwarded.
+	maxBufferedBody = 256 << 10
+	// maxResponses bounds how many responses are read while looking for the one with the request's id.
+	maxResponses = 3
+	// maxDiscardedBody bounds the body of a response to another request.
+	maxDiscardedBody = 1 << 20
 )
 
-// ErrAnswer marks answers that make no sense, or belong to other requests only.
-var ErrAnswer = errors.New("answer makes no sense")
+// ErrBadResponse marks responses that are malformed, or that belong to other requests.
+var ErrBadResponse = errors.New("malformed or unmatched response")
 
-// A Request struct is one request as a target is to see it.
+// A Request is a request as it is sent to a target.
 type Request struct {
 	Method string
 	// Target is the path and query, as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is a small body. Stream, if not nil, is read in its place, and Length is its length or -1.
+	// Body is a small body. If Stream is not nil, it is sent instead; Length is its length, or -1.
 	Body   []byte
 	Stream io.Reader
 	Length int64
-	// ID is what the answer must name, in the header called IDHeader.
+	// ID is the request id that the response must carry in the header IDHeader.
 	ID       string
 	IDHeader string
-	// IDOptional says that an answer may leave the id out.
+	// IDOptional allows a response without the id.
 	IDOptional bool
-	// MaxIdle is how long a connection may have rested to be used.
+	// MaxIdle is the longest time that a reused connection may have been idle.
 	MaxIdle clock.Millis
 }
 
-// An Answer struct is a target's answer. If Rest is nil, Body is the whole body.
-type Answer struct {
+// A Response is a target's response. If Rest is nil, Body is the complete body.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Rest is what follows Body of a large answer. It must be closed.
+	// Rest is the remainder of a large body. It must be closed.
 	Rest io.ReadCloser
-	// Length is the body's length if Rest is not nil, or -1.
+	// Length is the body's length if Rest is not nil, or -1 if that is unknown.
 	Length int64
-	// Trailer follows a body in chunks, once it has been read.
+	// Trailer is filled in once a chunked body has been read.
 	Trailer http.Header
-	// Closing says that the target closes the connection after the answer.
+	// Closing says that the target closes the connection after the response.
 	Closing bool
-	// Reused says that the request went out on a connection that had rested.
+	// Reused says that the request was sent on a reused connection.
 	Reused bool
 }
 
-// Send makes one attempt. The error is marked with ErrSent unless no byte was written. The answer
-// is whole when Send returns, unless it has a Rest.
-func (p *Conns) Send(ctx context.Context, address string, r *Request) (a *Answer, err error) {
+// Send makes one attempt. The error is marked with ErrSent unless no byte was written. The response is
+// complete when Send returns, unless it has a Rest.
+func (p *ConnPool) Send(ctx context.Context, address string, r *Request) (res *Response, err error) {
 	c, reused, err := p.get(ctx, address, r.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
 	stop := c.interrupt(ctx)
 	x := &transfer{conns: p, conn: c, stop: stop, reused: reused, stream: &source{from: r.Stream}}
-	a, err = x.run(r)
+	res, err = x.run(r)
 	if err != nil {
 		stop()
 		c.Close()
 		return nil, errors.Mark(err, ErrSent)
 	}
-	a.Reused = reused
-	return a, nil
+	res.Reused = reused
+	return res, nil
 }
 
-// A transfer is one request and its answer on a connection.
+// A transfer is one request and its response on a connection.
 type transfer struct {
-	conns  *Conns
+	conns  *ConnPool
 	conn   *Conn
 	stop   func() bool
 	reused bool
 	stream *source
-	// wrote is told how writing the request ended; nil once it is known to have ended well.
-	wrote chan error
+	// writeDone receives the result of writing the request.
+	writeDone chan error
 }
 
-func (x *transfer) run(r *Request) (*Answer, error) {
-	req := x.outgoing(r)
+func (x *transfer) run(r *Request) (*Response, error) {
+	req := x.newRequest(r)
 	x.write(req, r)
-	res, err := x.read(req, r)
+	res, err := x.readResponse(req, r)
 	if err != nil {
-		if broken := x.stream.broken(); broken != nil {
-			return nil, errors.Mark(broken, ErrBody)
+		if readErr := x.stream.readErr(); readErr != nil {
+			return nil, errors.Mark(readErr, ErrRequestBody)
 		}
 		return nil, err
 	}
-	x.conn.learn(res.Header)
-	return x.answer(res)
+	x.conn.readKeepAlive(res.Header)
+	return x.buffer(res)
 }
 
-func (x *transfer) outgoing(r *Request) *http.Request {
+func (x *transfer) newRequest(r *Request) *http.Request {
 	req := &http.Request{
 		Method: r.Method,
-		URL:    urlOf(r.Target),
+		URL:    requestURL(r.Target),
 		Host:   r.Host,
 		Header: r.Header,
 		Proto:  "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -123,8 +122,8 @@
 	return req
 }
 
-// urlOf returns a URL that is written as the target is.
-func urlOf(target string) *url.URL {
+// requestURL returns a URL that is written exactly as the target.
+func requestURL(target string) *url.URL {
 	u, err := url.ParseRequestURI(target)
 	if err != nil || u.RequestURI() != target {
 		return &url.URL{Opaque: target}
@@ -132,21 +131,21 @@
 	return u
 }
 
-// write sends the request. One with a body is written beside reading, since a target may answer
-// before it has read the body.
+// write sends the request. A large or streamed body is written concurrently with reading, since a target may
+// respond before it has read the body.
 func (x *transfer) write(req *http.Request, r *Request) {
-	x.wrote = make(chan error, 1)
-	if r.Stream == nil && len(r.Body) <= readBuffer/2 {
-		x.wrote <- writeBuffered(x.conn, req)
+	x.writeDone = make(chan error, 1)
+	if r.Stream == nil && len(r.Body) <= readBufferSize/2 {
+		x.writeDone <- writeBuffered(x.conn, req)
 		return
 	}
 	go func() {
 		err := writeBuffered(x.conn, req)
-		if x.stream.broken() != nil {
-			// The target waits for the rest, and would until the deadline.
+		if x.stream.readErr() != nil {
+			// The target would wait for the rest of the body until the deadline.
 			_ = x.conn.net.SetDeadline(past)
 		}
-		x.wrote <- err
+		x.writeDone <- err
 	}()
 }
 
@@ -161,10 +160,10 @@
 	return w.Flush()
 }
 
-// read returns the answer that names the request.
-func (x *transfer) read(req *http.Request, r *Request) (*http.Response, error) {
-	for range strayAnswers {
-		res, err := x.readOne(req)
+// readResponse returns the response that carries the request's id.
+func (x *transfer) readResponse(req *http.Request, r *Request) (*http.Response, error) {
+	for range maxResponses {
+		res, err := x.readFinal(req)
 		if err != nil {
 			return nil, err
 		}
@@ -172,24 +171,25 @@
 		if id == r.ID || id == "" && r.IDOptional {
 			return res, nil
 		}
-		x.conn.spoiled = true
-		if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, strayBytes)); err != nil {
-			return nil, errors.Mark(errors.Wrap(err, "pass over a stray answer"), ErrAnswer)
+		x.conn.noReuse = true
+		if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBody)); err != nil {
+			return nil, errors.Mark(errors.Wrap(err, "discard the response to another request"), ErrBadResponse)
 		}
 		_ = res.Body.Close()
 		if res.Close {
 			break
 		}
 	}
-	return nil, errors.Wrap(ErrAnswer, "only answers to other requests came")
+	return nil, errors.Wrap(ErrBadResponse, "target responded to other requests only")
 }
 
-func (x *transfer) readOne(req *http.Request) (*http.Response, error) {
+// readFinal reads a response, skipping informational ones (1xx).
+func (x *transfer) readFinal(req *http.Request) (*http.Response, error) {
 	for {
 		x.conn.limit.N = maxHeaderBytes
 		res, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		x.conn.limit.N = math.MaxInt64
 		if res.StatusCode >= http.StatusOK {
@@ -198,48 +198,48 @@
 	}
 }
 
-// answer reads the body, or its start if it is large.
-func (x *transfer) answer(res *http.Response) (*Answer, error) {
-	a := &Answer{Status: res.StatusCode, Header: res.Header, Closing: res.Close, Length: -1, Trailer: res.Trailer}
-	limit := io.LimitReader(res.Body, wholeBytes)
+// buffer reads the body, or the start of a large one.
+func (x *transfer) buffer(httpRes *http.Response) (*Response, error) {
+	res := &Response{Status: httpRes.StatusCode, Header: httpRes.Header, Closing: httpRes.Close, Length: -1, Trailer: httpRes.Trailer}
+	limit := io.LimitReader(httpRes.Body, maxBufferedBody)
 	var body bytes.Buffer
-	if res.ContentLength > 0 && res.ContentLength <= wholeBytes {
-		body.Grow(int(res.ContentLength) + bytes.MinRead)
+	if httpRes.ContentLength > 0 && httpRes.ContentLength <= maxBufferedBody {
+		body.Grow(int(httpRes.ContentLength) + bytes.MinRead)
 	}
 	n, err := body.ReadFrom(limit)
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer's body")
+		return nil, errors.Wrap(err, "read response body")
 	}
-	a.Body = body.Bytes()
-	rest := &rest{transfer: x, res: res}
-	if n < wholeBytes {
-		rest.ended = true
+	res.Body = body.Bytes()
+	rest := &rest{transfer: x, res: httpRes}
+	if n < maxBufferedBody {
+		rest.eof = true
 		_ = rest.Close()
-		return a, nil
+		return res, nil
 	}
-	a.Rest, a.Length = rest, res.ContentLength
-	return a, nil
+	res.Rest, res.Length = rest, httpRes.ContentLength
+	return res, nil
 }
 
-// A rest is the part of a large answer that has not been read.
+// A rest is the unread part of a large response body.
 type rest struct {
 	transfer *transfer
 	res      *http.Response
-	ended    bool
+	eof      bool
 }
 
 // Read implements io.Reader.
 func (r *rest) Read(p []byte) (int, error) {
 	n, err := r.res.Body.Read(p)
-	r.ended = r.ended || errors.Is(err, io.EOF)
+	r.eof = r.eof || errors.Is(err, io.EOF)
 	return n, err
 }
 
-// Close keeps the connection for the next request if this one and its answer have ended well.
+// Close returns the connection to the pool if the request and its response were completed.
 func (r *rest) Close() error {
 	x := r.transfer
-	unharmed := x.stop()
-	if unharmed && r.ended && x.reusable(r.res) {
+	uninterrupted := x.stop()
+	if uninterrupted && r.eof && x.reusable(r.res) {
 		x.conns.put(x.conn)
 		return nil
 	}
@@ -248,16 +248,16 @@
 }
 
 func (x *transfer) reusable(res *http.Response) bool {
-	if x.conn.spoiled || res.Close || x.conn.reader.Buffered() > 0 {
+	if x.conn.noReuse || res.Close || x.conn.reader.Buffered() > 0 {
 		return false
 	}
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
 		return false
 	}
 	select {
-	case err := <-x.wrote:
+	case err := <-x.writeDone:
 		return err == nil
 	default:
-		return false // the request has not been written whole
+		return false // the request is still being written
 	}
 }
--- a/framing/watch_test.go
+++ b/framing/filter_test.go
@@ -25,50 +25,50 @@
 	chunks  = "5\r\nhello\r\n0\r\n\r\n"
 )
 
-// watched reads all through a Watch.
-type watched struct {
-	watch framing.Watch
-	r     io.Reader
+// filtered reads through a Filter.
+type filtered struct {
+	filter framing.Filter
+	r      io.Reader
 }
 
-func (w *watched) Read(p []byte) (int, error) {
-	return w.watch.Read(w.r, p)
+func (w *filtered) Read(p []byte) (int, error) {
+	return w.filter.Read(w.r, p)
 }
 
-// cases are what callers send, and how many requests of it go on; fewer than all if one is ambiguous.
+// cases are byte streams sent by clients.
 var cases = []struct {
 	name, send string
-	// through are the requests before the ambiguous one, or all of them.
+	// through is the number of requests before the ambiguous one, or of all.
 	through   int
 	ambiguous bool
 }{
 	{"plain", get + get, 2, false},
-	{"a length", post + five + "\r\nhello" + get, 2, false},
-	{"chunks", post + chunked + "\r\n" + chunks + get, 2, false},
-	{"extensions and trailers", post + chunked + "\r\n5;a=\"b\"\r\nhello\r\n0;c\r\nX-A: b\r\n\r\n" + get, 2, false},
+	{"content length", post + five + "\r\nhello" + get, 2, false},
+	{"chunked", post + chunked + "\r\n" + chunks + get, 2, false},
+	{"chunk extensions and trailers", post + chunked + "\r\n5;a=\"b\"\r\nhello\r\n0;c\r\nX-A: b\r\n\r\n" + get, 2, false},
 	{"bare LFs", strings.ReplaceAll(post+chunked+"\r\n", "\r\n", "\n") + chunks + get, 2, false},
-	{"an old one that stays", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n" + get, 2, false},
-	{"an ambiguous body", post + five + "\r\nhello" + post + "Content-Length: 76\r\n\r\n" + post + five + chunked + "\r\n", 2, false},
-	{"ambiguous chunks", post + chunked + "\r\n4c\r\n" + post + five + chunked + "\r\n" + "\r\n0\r\n\r\n" + get, 2, false},
-	{"an ambiguous trailer", post + chunked + "\r\n0\r\n" + five + five + chunked + "\r\n" + get, 2, false},
+	{"HTTP/1.0 keep-alive", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n" + get, 2, false},
+	{"ambiguous header within a body", post + five + "\r\nhello" + post + "Content-Length: 76\r\n\r\n" + post + five + chunked + "\r\n", 2, false},
+	{"ambiguous header within a chunk", post + chunked + "\r\n4c\r\n" + post + five + chunked + "\r\n" + "\r\n0\r\n\r\n" + get, 2, false},
+	{"ambiguous trailer", post + chunked + "\r\n0\r\n" + five + five + chunked + "\r\n" + get, 2, false},
 
-	{"the preface of HTTP/2", "PRI * HTTP/2.0\r\n\r\n" + post + five + chunked + "\r\n" + chunks, 0, false},
+	{"HTTP/2 preface", "PRI * HTTP/2.0\r\n\r\n" + post + five + chunked + "\r\n" + chunks, 0, false},
 
 	{"two lengths", post + five + five + "\r\nhello" + get, 0, true},
 	{"two lengths after a request", get + post + five + five + "\r\nhello" + get, 1, true},
 	{"length, then chunks", post + five + chunked + "\r\n" + chunks + get, 0, true},
 	{"chunks, then length", post + chunked + five + "\r\n" + chunks + get, 0, true},
-	{"in other letters", post + "content-LENGTH:5\r\ntransfer-ENCODING:\tCHUNKED \r\n\r\n" + chunks, 0, true},
-	{"over bare LFs", post + "X-A: b\n" + five + "X-B: c\n" + chunked + "\r\n" + chunks, 0, true},
-	{"folded", post + five + "Transfer-Encoding:\r\n  chunked\r\n\r\n" + chunks, 0, true},
-	{"behind a long line", post + "X-A: " + strings.Repeat("x", 10000) + "\r\n" + five + chunked + "\r\n" + chunks, 0, true},
-	{"behind chunks", post + chunked + "\r\n" + chunks + post + five + chunked + "\r\n" + chunks, 1, true},
-	{"behind a trailer", post + chunked + "\r\n0\r\nX-A: b\r\n\r\n" + post + five + chunked + "\r\n" + chunks, 1, true},
-	{"old with chunks", "POST /a HTTP/1.0\r\n" + chunked + "\r\n" + chunks, 0, true},
-	{"old with an unknown coding", "POST /a HTTP/1.0\r\nTransfer-Encoding: x\r\n\r\n", 0, true},
+	{"other letter case", post + "content-LENGTH:5\r\ntransfer-ENCODING:\tCHUNKED \r\n\r\n" + chunks, 0, true},
+	{"with bare LFs", post + "X-A: b\n" + five + "X-B: c\n" + chunked + "\r\n" + chunks, 0, true},
+	{"folded line", post + five + "Transfer-Encoding:\r\n  chunked\r\n\r\n" + chunks, 0, true},
+	{"after a long line", post + "X-A: " + strings.Repeat("x", 10000) + "\r\n" + five + chunked + "\r\n" + chunks, 0, true},
+	{"after a chunked request", post + chunked + "\r\n" + chunks + post + five + chunked + "\r\n" + chunks, 1, true},
+	{"after a trailer", post + chunked + "\r\n0\r\nX-A: b\r\n\r\n" + post + five + chunked + "\r\n" + chunks, 1, true},
+	{"HTTP/1.0, chunked", "POST /a HTTP/1.0\r\n" + chunked + "\r\n" + chunks, 0, true},
+	{"HTTP/1.0, unknown coding", "POST /a HTTP/1.0\r\nTransfer-Encoding: x\r\n\r\n", 0, true},
 }
 
-func TestWatch(t *testing.T) {
+func TestFilter(t *testing.T) {
 	for _, c := range cases {
 		for name, by := range map[string]func(io.Reader) io.Reader{
 			"whole":         func(r io.Reader) io.Reader { return r },
@@ -78,23 +78,23 @@
 		} {
 			t.Run(c.name+" "+name, func(t *testing.T) {
 				is := is.New(t)
-				w := &watched{r: by(strings.NewReader(c.send))}
+				w := &filtered{r: by(strings.NewReader(c.send))}
 				list, err := requests(w)
 				is.Equal(len(list), c.through)
-				is.Equal(w.watch.Ambiguous(), c.ambiguous)
+				is.Equal(w.filter.Ambiguous(), c.ambiguous)
 				is.True(c.ambiguous || errors.Is(err, io.EOF) || errors.Is(err, errVersion))
 			})
 		}
 	}
 }
 
-// A request is one as the library reads it.
+// A request is one as net/http reads it.
 type request struct{ line, body string }
 
-// errVersion is where the library's server refuses a version.
+// errVersion stands for the server's check of the version.
 var errVersion = errors.New("not HTTP/1")
 
-// requests reads until something fails.
+// requests reads requests until an error.
 func requests(r io.Reader) (list []request, err error) {
 	b := bufio.NewReader(r)
 	for {
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestServerRefuses has the library's server read through a Watch. The requests before an ambiguous one are served to
-// their ends, though the server reads on while it works on them.
-func TestServerRefuses(t *testing.T) {
+// An ambiguous request follows others on a connection of an http.Server: it must get a 400, and those before it
+// must be handled to their end, though the server reads ahead in the background.
+func TestServerRejectsAmbiguousRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -148,28 +148,28 @@
 
 type conn struct {
 	net.Conn
-	watch framing.Watch
+	filter framing.Filter
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	return c.watch.Read(c.Conn, p)
+	return c.filter.Read(c.Conn, p)
 }
 
-// FuzzWatch reads with the library alone, and through a Watch. The Watch ends reading at the first request that the
-// library takes and that is ambiguous by its raw header, and nowhere else. As its end is held back, the library may refuse
-// the one before: it wants to see an empty line behind a trailer.
-func FuzzWatch(f *testing.F) {
+// FuzzFilter compares reading with net/http alone and through a Filter. The Filter must end at the first request that
+// net/http accepts and whose raw header is ambiguous, and nowhere else. Since the end of that header is withheld, net/http
+// may also reject the request before: it requires an empty line after a trailer.
+func FuzzFilter(f *testing.F) {
 	for _, c := range cases {
 		f.Add([]byte(c.send))
 	}
-	f.Add([]byte(post + chunked + "\r\n0\r\n\nGET /a HTTP/1.0\n" + chunked + "\r\n")) // a trailer that has no end for the library
+	f.Add([]byte(post + chunked + "\r\n0\r\n\nGET /a HTTP/1.0\n" + chunked + "\r\n")) // a trailer that does not end for net/http
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		want, ambiguous, refused := firstAmbiguous(sent)
 		for _, r := range []io.Reader{bytes.NewReader(sent), iotest.OneByteReader(bytes.NewReader(sent))} {
-			w := &watched{r: r}
+			w := &filtered{r: r}
 			got, err := requests(w)
-			if len(got) > len(want) || len(got) < len(want) && !w.watch.Ambiguous() || w.watch.Ambiguous() != ambiguous && !refused {
-				t.Fatalf("%d requests, ambiguous %v and %v, not %d and %v: %q", len(got), w.watch.Ambiguous(), err, len(want), ambiguous, sent)
+			if len(got) > len(want) || len(got) < len(want) && !w.filter.Ambiguous() || w.filter.Ambiguous() != ambiguous && !refused {
+				t.Fatalf("%d requests, ambiguous %v and %v, not %d and %v: %q", len(got), w.filter.Ambiguous(), err, len(want), ambiguous, sent)
 			}
 			for i := range got {
 				if got[i] != want[i] {
@@ -180,8 +180,8 @@
 	})
 }
 
-// firstAmbiguous returns the requests that the library reads before an ambiguous one, or before one that it
-// refuses: what a Watch says of that one does not matter.
+// firstAmbiguous returns the requests that net/http reads before the first ambiguous or rejected one. What a Filter
+// reports of a rejected one does not matter.
 func firstAmbiguous(sent []byte) (list []request, ambiguous, refused bool) {
 	counted := bytes.NewReader(sent)
 	b := bufio.NewReader(counted)
@@ -203,7 +203,7 @@
 	}
 }
 
-// ambiguousHeader reads a header again, with all its lines.
+// ambiguousHeader parses a raw header and reports whether its framing is ambiguous.
 func ambiguousHeader(raw []byte) bool {
 	r := textproto.NewReader(bufio.NewReader(bytes.NewReader(raw)))
 	line, err := r.ReadLine()
@@ -217,12 +217,12 @@
 		len(codings) == 1 && strings.EqualFold(codings[0], "chunked") && len(lengths) > 0)
 }
 
-// BenchmarkWatch is what each request pays: a header of 10 lines and 300 bytes in one read.
-func BenchmarkWatch(b *testing.B) {
+// BenchmarkFilter measures the cost per request: a header of 10 lines and 300 bytes in one read.
+func BenchmarkFilter(b *testing.B) {
 	sent := []byte(post + strings.Repeat("X-Some-Name: some-value\r\n", 10) + five + "\r\nhello")
 	r := bytes.NewReader(sent)
 	buf := make([]byte, 4<<10)
-	w := framing.Watch{}
+	w := framing.Filter{}
 	for b.Loop() {
 		r.Reset(sent)
 		if _, err := w.Read(r, buf); err != nil {
--- a/reading/target_test.go
+++ b/reading/target_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-func TestTarget(t *testing.T) {
+func TestCheckTarget(t *testing.T) {
 	for _, c := range []struct {
 		line, host string
 		status     int
@@ -42,26 +42,26 @@
 	} {
 		t.Run(c.line+" "+c.host, func(t *testing.T) {
 			is := is.New(t)
-			no := reading.Target(request(t, c.line, c.host))
+			no := reading.CheckTarget(request(t, c.line, c.host))
 			is.Equal(no != nil, c.status != 0)
 			is.True(no == nil || no.Status == c.status)
 		})
 	}
 }
 
-func TestOrigin(t *testing.T) {
+func TestOriginForm(t *testing.T) {
 	for uri, want := range map[string]string{
 		"/a?b": "/a?b", "/a?b=http://c/d": "/a?b=http://c/d", "/": "/", "//a": "//a", "/x://y/z": "/x://y/z",
 		"http://h/a%2Fb?c": "/a%2Fb?c", "http://h": "/", "http://h?a": "/?a", "http://h/?a/b": "/?a/b", "http://h//a": "//a",
 	} {
 		t.Run(uri, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(reading.Origin(request(t, "GET "+uri, "h")), want)
+			is.Equal(reading.OriginForm(request(t, "GET "+uri, "h")), want)
 		})
 	}
 }
 
-func TestResolved(t *testing.T) {
+func TestNormalizePath(t *testing.T) {
 	for origin, want := range map[string]string{
 		"/": "/", "/a/b": "/a/b", "/a/": "/a/", "/a?../b": "/a", "/a.b/.c/..d": "/a.b/.c/..d",
 		"//a//b/": "/a/b/", "/./a": "/a", "/a/.": "/a/", "/a/b/..": "/a/", "/a/../..": "/", "/a/../../../b": "/b", "/a/...": "/a/...",
@@ -73,13 +73,13 @@
 	} {
 		t.Run(origin, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(reading.Resolved(origin), want)
+			is.Equal(reading.NormalizePath(origin), want)
 		})
 	}
 }
 
-// FuzzResolved resolves paths twice: what is resolved has no dots and no empty segments left.
-func FuzzResolved(f *testing.F) {
+// FuzzNormalizePath checks that normalizing is idempotent and leaves no dot segments and no empty segments.
+func FuzzNormalizePath(f *testing.F) {
 	for _, s := range []string{"/a/../b", "/a%2F..%5c.%2e/", `/\..\.`, "//", "/%2e/é"} {
 		f.Add(s)
 	}
@@ -88,9 +88,9 @@
 			return
 		}
 		is := is.New(t)
-		got := reading.Resolved(s)
+		got := reading.NormalizePath(s)
 		is.True(strings.HasPrefix(got, "/"))
-		is.Equal(reading.Resolved(got), got)
+		is.Equal(reading.NormalizePath(got), got)
 		for segment := range strings.SplitSeq(strings.Trim(got, "/"), "/") {
 			is.True(segment != ".." && segment != "." && (segment != "" || got == "/"))
 		}
@@ -99,9 +99,9 @@
 
 var resolved string
 
-// BenchmarkResolved is what each request pays: 55 to 65 ns for a plain path of 22 bytes.
-func BenchmarkResolved(b *testing.B) {
+// BenchmarkNormalizePath measures the cost per request: 55 to 65 ns for a plain path of 22 bytes.
+func BenchmarkNormalizePath(b *testing.B) {
 	for b.Loop() {
-		resolved = reading.Resolved("/orders/2f8a0b/items/17?fields=name")
+		resolved = reading.NormalizePath("/orders/2f8a0b/items/17?fields=name")
 	}
 }
