--- a/pool/pool.go
+++ b/pool/pool.go
@@ -181,7 +181,7 @@
 	ended     *window
 	// started counts this node's attempts, as they begin.
 	started   *window
-	peerEnded map[ident.Process]peerTally
+	peerTallies map[ident.Process]peerTally
 	// sawTraffic says that a request of any node is known to have gone to a target.
 	sawTraffic bool
 	// joinTrials is how many targets that joined may be tried now while load is sparse.
@@ -195,7 +195,7 @@
 	return &Pool{
 		clock: c, rand: r, tuning: t, budget: b, onChange: onChange, onEvent: onEvent,
 		targets: map[ident.Target]*target{}, waiting: list.New(), serviceTime: float64(t.FirstServiceTime), failTime: float64(t.FirstServiceTime),
-		ended: newWindow(t.TroubleWindow), started: newWindow(t.TroubleWindow), peerEnded: map[ident.Process]peerTally{},
+		ended: newWindow(t.TroubleWindow), started: newWindow(t.TroubleWindow), peerTallies: map[ident.Process]peerTally{},
 	}
 }
 
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -12,7 +12,7 @@
 const minRetryAfter clock.Millis = 100
 
 type waiter struct {
-	ask     *Request
+	request     *Request
 	granted chan grant
 	element *list.Element
 	// mayOvercommit waiters may be given to a target's own queue.
@@ -47,7 +47,7 @@
 		p.mu.Unlock()
 		return l, err
 	}
-	w := &waiter{ask: a, granted: make(chan grant, 1)}
+	w := &waiter{request: a, granted: make(chan grant, 1)}
 	p.insert(w)
 	p.mu.Unlock()
 	return p.wait(ctx, w)
@@ -85,7 +85,7 @@
 // isNext says whether nobody waits who goes before the request.
 func (p *Pool) isNext(a *Request) bool {
 	e := p.waiting.Front()
-	return e == nil || e.Value.(*waiter).ask.Priority > a.Priority
+	return e == nil || e.Value.(*waiter).request.Priority > a.Priority
 }
 
 func (p *Pool) anyUsable(a *Request) bool {
@@ -112,7 +112,7 @@
 func (p *Pool) expectedWait(a *Request) clock.Millis {
 	ahead := 1
 	for e := p.waiting.Front(); e != nil; e = e.Next() {
-		if e.Value.(*waiter).ask.Priority <= a.Priority {
+		if e.Value.(*waiter).request.Priority <= a.Priority {
 			ahead++
 		}
 	}
@@ -130,7 +130,7 @@
 // insert puts the waiter behind those of its rank.
 func (p *Pool) insert(w *waiter) {
 	for e := p.waiting.Back(); e != nil; e = e.Prev() {
-		if e.Value.(*waiter).ask.Priority <= w.ask.Priority {
+		if e.Value.(*waiter).request.Priority <= w.request.Priority {
 			w.element = p.waiting.InsertAfter(w, e)
 			return
 		}
@@ -140,9 +140,9 @@
 
 // wait waits for a grant. After a share of the request's aim it may go to a target's own queue.
 func (p *Pool) wait(ctx context.Context, w *waiter) (*Lease, error) {
-	hold := time.NewTimer(time.Duration(p.tuning.Hold * float64(w.ask.Objective.Duration())))
+	hold := time.NewTimer(time.Duration(p.tuning.Hold * float64(w.request.Objective.Duration())))
 	defer hold.Stop()
-	deadline := time.NewTimer((w.ask.Deadline - p.clock.Now()).Duration())
+	deadline := time.NewTimer((w.request.Deadline - p.clock.Now()).Duration())
 	defer deadline.Stop()
 	for {
 		select {
@@ -207,11 +207,11 @@
 
 // grantTo takes a waiter out of the queue if there is a slot for it, or can be none.
 func (p *Pool) grantTo(w *waiter) (g grant, granted bool) {
-	c := p.choose(w.ask, w.mayOvercommit)
+	c := p.choose(w.request, w.mayOvercommit)
 	switch {
 	case c.target != nil:
 		g = grant{waiter: w, lease: p.lease(c, p.clock.Now())}
-	case !p.anyUsable(w.ask):
+	case !p.anyUsable(w.request):
 		g = grant{waiter: w, err: ErrNoTarget}
 	default:
 		return grant{}, false
--- a/pool/share.go
+++ b/pool/share.go
@@ -86,7 +86,7 @@
 func (p *Pool) ApplyReport(from ident.Process, r *tlv1.Report) {
 	p.mu.Lock()
 	now := p.clock.Now()
-	p.peerEnded[from] = peerTally{tally: tally{asked: int(r.GetAsked()), unserved: int(r.GetUnserved()), failed: int(r.GetFailed())}, at: now}
+	p.peerTallies[from] = peerTally{tally: tally{asked: int(r.GetAsked()), unserved: int(r.GetUnserved()), failed: int(r.GetFailed())}, at: now}
 	for _, s := range r.GetSeen() {
 		if t := p.targets[ident.Target(s.GetTarget())]; t != nil && !t.otherLife(s, now) {
 			p.applySeen(t, from, s, now)
--- a/pool/tally.go
+++ b/pool/tally.go
@@ -83,11 +83,11 @@
 // recentTotals counts the requests of late, over the nodes that are heard.
 func (p *Pool) recentTotals(now clock.Millis) tally {
 	s := p.ended.sum(now)
-	for from, o := range p.peerEnded {
+	for from, o := range p.peerTallies {
 		if now-o.at <= p.tuning.PeerTTL {
 			s.add(o.tally)
 		} else {
-			delete(p.peerEnded, from)
+			delete(p.peerTallies, from)
 		}
 	}
 	return s
