--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,5 @@
-// Package pool chooses a target for each request of one service on one node, and holds requests
-// back while the targets are full. It weighs what this node and the service's other nodes have
-// seen of each target. It does no I/O.
+// Package pool chooses a target for each request of one service on one node, and queues requests while the targets
+// are full. It combines what this node and the service's other nodes have observed of each target. It does no I/O.
 package pool
 
 import (
@@ -14,10 +13,10 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// ErrNoTarget says that no target may take the request.
+// ErrNoTarget means that no target may take the request.
 var ErrNoTarget = errors.New("no target may take the request")
 
-// A BusyError says that waiting is of no use, and when it may be worth coming back.
+// BusyError means that waiting is of no use; RetryAfter is when another request may be worthwhile.
 type BusyError struct {
 	RetryAfter clock.Millis
 	Reason     string
@@ -28,54 +27,54 @@
 	return e.Reason
 }
 
-// A Target struct is what is registered of a target.
+// Target is what is registered of a target.
 type Target struct {
 	ID      ident.Target
 	Address string
 	Slots   int
 	Hall    ident.Hall
-	// SameHall targets are in this node's hall, and OtherRegion ones in another region.
+	// SameHall says that the target is in this node's hall, OtherRegion that it is in another region.
 	SameHall, OtherRegion bool
-	// Assigned are targets that this node tries when too little is known of them: near ones, and those
-	// that are near no node.
+	// Assigned says that this node tries the target when too little is known of it: targets of its own hall, and
+	// those of a hall without nodes.
 	Assigned bool
-	// TrialRank is this node's place among those whose part the target is, from 0: the first one tries it.
+	// TrialRank is this node's rank among the nodes that the target is assigned to; rank 0 tries it first.
 	TrialRank int
-	// Life tells apart the lives of a target that starts again under its id: a later one knows nothing of before.
+	// Life identifies a generation of a target that restarts under its id. Nothing learned of one applies to the
+	// next.
 	Life uint64
 	// Leaving targets take no new work.
 	Leaving bool
-	// WarmAt is until when the target is slow from its start.
+	// WarmAt is when the target is no longer slow from its start.
 	WarmAt clock.Millis
-	// WarmupUntil is until when what it gets from all nodes together is bounded, and ColdRate this node's part of that by
-	// the second; 0 if it may send none.
+	// Until WarmupUntil the target's load from all nodes together is limited, and WarmupRate is this node's share
+	// in requests per second; 0 if it may send none.
 	WarmupUntil clock.Millis
 	WarmupRate  float64
-	// Evacuated targets are in a hall that is to get nothing.
+	// Evacuated targets are in a hall that is to get no work.
 	Evacuated bool
 }
 
-// An Outcome says how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome int
 
 // Outcomes of attempts.
 const (
-	// Good answers came from the target, whatever it said of the request itself.
+	// Good means that the target responded, whatever it said about the request itself.
 	Good Outcome = iota
-	// Failed answers say that the target failed.
+	// Failed means that the response shows a failure of the target.
 	Failed
-	// Late attempts ran out of time, though they had as much as usual requests need.
+	// Late means that the attempt timed out, though it had as much time as usual requests need.
 	Late
-	// ConnectionLost attempts were sent and lost their connection.
+	// ConnectionLost means that the request was sent and its connection was lost.
 	ConnectionLost
-	// Unreachable targets took no connection.
+	// Unreachable means that the target accepted no connection.
 	Unreachable
-	// Shed requests were turned away by a target that is full, and did not run.
+	// Shed means that the target was full and turned the request away without running it.
 	Shed
-	// Replaced targets are no more at their address.
+	// Replaced means that the target is no longer at its address.
 	Replaced
-	// Abandoned requests were given up by the caller, or by this node for another reason than
-	// the target.
+	// Abandoned means that the caller gave the request up, or this node did for a reason other than the target.
 	Abandoned
 )
 
@@ -85,15 +84,15 @@
 	okAt     clock.Millis
 	failed   uint32
 	late     uint32
-	// triedAt is when the node was last heard to have a request there.
+	// triedAt is when the node last reported more requests there.
 	triedAt clock.Millis
-	// unreachable says that the node's own way to the target seems cut, and unreachableSince when that was first heard
-	// after its last answer there.
+	// unreachable says that the node's own network path to the target seems broken, unreachableSince when it first
+	// reported that after its last response there.
 	unreachable      bool
 	unreachableSince clock.Millis
 }
 
-// peerTally is what another node said of how its requests ended.
+// peerTally is what another node reported of how its requests ended.
 type peerTally struct {
 	tally
 	at clock.Millis
@@ -101,72 +100,74 @@
 
 type target struct {
 	Target
-	// restartedAt is when this node learned that the target had started again under its id; 0 if it never did.
+	// restartedAt is when this node learned that the target had restarted under its id; 0 if it never did.
 	restartedAt   clock.Millis
 	belief        belief.Belief
 	localInFlight int
 	peers         map[ident.Process]*peerView
-	// peerInFlight is what they have in flight, as summed at othersAt; othersTriedAt is when one that can connect there was
-	// last heard to have more.
+	// peerInFlight is the number of requests that the peers have in flight, summed at peerInFlightAt; peerTriedAt
+	// is when a peer that can connect there last reported more.
 	peerInFlight                int
 	peerInFlightAt, peerTriedAt clock.Millis
-	// okAt and failedAt are when this node saw the last good answer and the last failure.
+	// okAt and failedAt are when this node saw the last good response and the last failure.
 	okAt, failedAt clock.Millis
-	// lastFailed is when any node was last known to see a failure.
+	// lastFailed is when any node is known to have last seen a failure.
 	lastFailed clock.Millis
 	// failures and lates count since this node's start.
 	failures, lates uint32
 	lateAt          clock.Millis
-	// blockedUntil is until when this node passes the target over, since it cannot reach it.
+	// Until blockedUntil this node passes the target over, since it cannot connect to it.
 	blockedUntil    clock.Millis
 	connectFailures int
-	// unreachableAt is when it last took no connection from this node.
+	// unreachableAt is when a connection from this node last failed.
 	unreachableAt clock.Millis
-	// avoided says that the target is thought to be failing, keptForFloor that it is used all the same, since
+	// avoided says that the target is estimated to be failing, keptForFloor that it is used nevertheless because
 	// the floor needs its slots.
 	avoided, keptForFloor bool
-	// announcedLeave says that the target itself said that it is leaving, or is replaced.
+	// announcedLeave says that the target itself announced that it is leaving, or is replaced.
 	announcedLeave bool
-	// closings counts answers in a row that said that the connection closes.
+	// closings counts consecutive responses that close the connection.
 	closings int
 	addedAt  clock.Millis
-	// evidenceAt is when the last evidence on the target came to this node; 0 if never.
+	// evidenceAt is when the latest evidence on the target arrived; 0 if never.
 	evidenceAt clock.Millis
-	// joined targets came while this node knew the service already, and addedBeforeTraffic ones before its first request.
+	// joined targets were added while this node knew the service already, addedBeforeTraffic ones before its first
+	// request.
 	joined, addedBeforeTraffic bool
-	// usedAt is when any node last sent it a request that got there, as far as is known; triedAt is when this node last
-	// gave it one, which may not get there.
+	// usedAt is when any node last sent it a request that arrived, as far as is known; triedAt is when this node
+	// last gave it one, which may not arrive.
 	usedAt, triedAt clock.Millis
 	removed         bool
 	reportPending   bool
-	// warmupBucket is what this node gave it while it was cold.
+	// warmupBucket limits what this node sends to the target while it is warming up.
 	warmupBucket tokenBucket
-	// reportedAt is when the other nodes were last told of it.
+	// reportedAt is when the target was last reported to the other nodes.
 	reportedAt clock.Millis
 }
 
-// ChangeKind says who should hear what has changed, and how soon.
+// ChangeKind says which nodes a change is for, and how soon.
 type ChangeKind int
 
-// News by how far it should go.
+// Kinds of changes.
 const (
-	// LocalLoad is the load of targets of this hall, for this hall's nodes.
+	// LocalLoad is a change in the load of a target of this hall, for this hall's nodes.
 	LocalLoad ChangeKind = iota
-	// RemoteLoad is the load of targets of other halls, for those halls' nodes at once.
+	// RemoteLoad is a change in the load of a target of another hall, for that hall's nodes at once.
 	RemoteLoad
-	// HealthEvidence on a target is for all nodes at once.
+	// HealthEvidence is evidence of a target's health, for all nodes at once.
 	HealthEvidence
 )
 
-// A Pool struct holds the targets of one service. It is safe for concurrent use.
+// Pool holds the targets of one service. It is safe for concurrent use.
 type Pool struct {
 	clock  clock.Clock
 	rand   *rand.Rand
 	tuning Tuning
 	budget *RetryBudget
-	// onChange is called, with no lock held, when there is something to tell the other nodes of a target of the hall.
+	// onChange is called, with no lock held, when there is something to report to the other nodes on a target of
+	// the hall.
 	onChange func(n ChangeKind, of ident.Hall)
-	// onEvent is called, with no lock held, for each change in what is believed of a target.
+	// onEvent is called, with no lock held, for each change in a target's estimated health.
 	onEvent func(Event)
 
 	mu          sync.Mutex
@@ -174,17 +175,17 @@
 	order       []*target
 	waiting     *list.List
 	serviceTime float64
-	// failTime is how long it takes until a failure shows.
+	// failTime is the running mean of the time until a failure shows.
 	failTime  float64
 	floor     int
 	reportSeq uint64
 	ended     *window
-	// started counts this node's attempts, as they begin.
-	started   *window
+	// started counts this node's attempts, as they start.
+	started     *window
 	peerTallies map[ident.Process]peerTally
 	// sawTraffic says that a request of any node is known to have gone to a target.
 	sawTraffic bool
-	// joinTrials is how many targets that joined may be tried now while load is sparse.
+	// joinTrials is how many new targets may be tried now while load is sparse.
 	joinTrials      float64
 	timeoutBaseline timeoutBaseline
 	events          []Event
@@ -199,17 +200,17 @@
 	}
 }
 
-// Hedges says whether a second attempt may be made beside one that takes long.
+// Hedges reports whether a second attempt may be made beside a slow one.
 func (p *Pool) Hedges() bool {
 	return p.tuning.Hedge
 }
 
-// RetryBudget returns what bounds further attempts.
+// RetryBudget returns the budget for further attempts.
 func (p *Pool) RetryBudget() *RetryBudget {
 	return p.budget
 }
 
-// SetTargets replaces the targets. What is known of those that stay is kept.
+// SetTargets replaces the targets, and keeps what is known of those that stay.
 func (p *Pool) SetTargets(targets []Target) {
 	p.mu.Lock()
 	now := p.clock.Now()
@@ -238,7 +239,7 @@
 	deliver(grants)
 }
 
-// Stats is a look at a pool.
+// Stats holds a pool's counts at one moment.
 type Stats struct {
 	Waiting, InFlight, Targets, Usable int
 	ServiceTime                        clock.Millis
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -16,7 +16,7 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// node is one node's pool, with what it told the others.
+// node is one node's pool, with the changes and events that it published.
 type node struct {
 	*pool.Pool
 	clock *clock.Manual
@@ -52,7 +52,7 @@
 	}
 }
 
-// targets returns near targets a, b, c ... of so many slots.
+// targets returns count targets of this hall, with ids a, b, c and so on.
 func targets(count, slots int) []pool.Target {
 	var list []pool.Target
 	for i := range count {
@@ -67,7 +67,7 @@
 	return &pool.Request{Repeatable: repeatable, MayRetry: repeatable, Began: now, Objective: 800, Deadline: now + 3000}
 }
 
-// mustAcquire takes a lease, or fails the test.
+// mustAcquire returns a lease, or fails the test.
 func (n *node) mustAcquire(t *testing.T, a *pool.Request) *pool.Lease {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestNewsOfAFailureReachesOthers has one node see a failure, and another choose.
+// TestNewsOfAFailureReachesOthers has one node observe a failure, and another choose.
 func TestNewsOfAFailureReachesOthers(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -120,7 +120,7 @@
 	is.Equal(n2.events[0].By, ident.Node("n1"))
 }
 
-// TestNoConnectionBlamesTheLink keeps what one node cannot reach from the others' beliefs.
+// TestNoConnectionBlamesTheLink checks that what one node cannot reach does not change the others' beliefs.
 func TestNoConnectionBlamesTheLink(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -159,8 +159,8 @@
 	is.True(back < 3*clock.Second)
 }
 
-// TestWaitsForASoundTarget fills the only sound target: a request that runs once waits for it and
-// does not go to one that fails.
+// TestWaitsForASoundTarget fills the only healthy target: a run-once request waits for it and does not go to one
+// that fails.
 func TestWaitsForASoundTarget(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 1)
@@ -181,8 +181,8 @@
 	is.True(l.Target != bad)
 }
 
-// TestWaitsWhileSoundTargetsHaveNoRoom fills the only sound target, with its own queue, while another is
-// known to be failing. Requests wait for the sound one, also after they have waited for long.
+// TestWaitsWhileSoundTargetsHaveNoRoom fills the only healthy target and its own queue, while another target is
+// known to be failing. Requests wait for the healthy one, even after they have waited for long.
 func TestWaitsWhileSoundTargetsHaveNoRoom(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		t.Run(fmt.Sprint(repeatable), func(t *testing.T) {
@@ -209,7 +209,7 @@
 			select {
 			case l := <-got:
 				t.Fatalf("went to %s, which is failing with %.2f", l.Target, l.Failing)
-			case <-time.After(300 * time.Millisecond): // it is pressed by now
+			case <-time.After(300 * time.Millisecond): // by now it may overcommit
 			}
 			n.ApplyReport(ident.Process{Node: "n3", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(other), OkMs: 1, FailedMs: -1}}})
 			is.Equal((<-got).Target, other)
@@ -237,7 +237,7 @@
 	for i, rank := range []uint32{2, 2, 0, 1} {
 		go func() {
 			a := n.request(false)
-			a.Priority, a.Objective = rank, 60_000 // so that none is pressed into the target's own queue
+			a.Priority, a.Objective = rank, 60_000 // so that none goes to the target's own queue
 			a.Deadline = n.clock.Now() + 60_000
 			if l, err := n.Acquire(context.Background(), a); err == nil {
 				order <- rank
@@ -276,7 +276,7 @@
 	list[0].Leaving = true
 	n.SetTargets(list)
 	l := n.mustAcquire(t, n.request(false))
-	for l.Target != "b" { // b says itself that it is leaving
+	for l.Target != "b" { // b itself announces that it is leaving
 		l.Done(pool.Good, false)
 		n.clock.Advance(2000)
 		l = n.mustAcquire(t, n.request(true))
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestClosingConnections takes a target for leaving that closes its connections again and again, and
-// not one that does so now and then.
+// TestClosingConnections checks that a target counts as leaving if it closes its connections again and again, and
+// not if it does so now and then.
 func TestClosingConnections(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
@@ -312,8 +312,8 @@
 	}
 }
 
-// TestPeersLoadCounts has another node fill a target; this one goes elsewhere until the other was
-// silent for long.
+// TestPeersLoadCounts has another node fill a target; this one goes elsewhere until the other has not reported for
+// long.
 func TestPeersLoadCounts(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 2)
@@ -326,7 +326,7 @@
 	is.Equal(n.mustAcquire(t, n.request(false)).Target, ident.Target("a"))
 }
 
-// TestLongRequestsAreToldAgain keeps a load that does not change from being forgotten.
+// TestLongRequestsAreToldAgain checks that a load that does not change is reported again before it expires.
 func TestLongRequestsAreToldAgain(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -344,7 +344,7 @@
 	}
 }
 
-// TestNewNodeAdoptsAFullReport brings all that one node knows to one that has just started.
+// TestNewNodeAdoptsAFullReport has a node that has just started apply the full report of another.
 func TestNewNodeAdoptsAFullReport(t *testing.T) {
 	is := is.New(t)
 	n1 := newSingleNode(t, 2, 3)
@@ -385,8 +385,8 @@
 	is.True(fmt.Sprint(b.Remaining()) == "2")
 }
 
-// TestFloorKeepsCapacityInUse has targets fail one after the other. As long as the floor needs them,
-// they count as in use, the likeliest sound first.
+// TestFloorKeepsCapacityInUse has targets fail one after the other. As long as the floor needs them they count as
+// in use, those most likely to be healthy first.
 func TestFloorKeepsCapacityInUse(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 5, 3)
@@ -410,8 +410,8 @@
 	is.Equal(inUse(), 0)
 }
 
-// TestLargeAnswersStayNear has a near target that nothing is known of, and a far one that is sound. Small
-// answers come from far, large ones stay near.
+// TestLargeAnswersStayNear has an unknown target in this hall, and a healthy one in another. Small responses come
+// from the other hall, large ones from this one.
 func TestLargeAnswersStayNear(t *testing.T) {
 	for _, c := range []struct {
 		bytes float64
@@ -441,7 +441,7 @@
 	is.True(n.TryAcquire(a) == nil)
 }
 
-// TestEachMechanismCanBeSwitchedOff changes the tuning for each name, and none for an unknown one.
+// TestEachMechanismCanBeSwitchedOff checks that each name changes the tuning, and that an unknown one is an error.
 func TestEachMechanismCanBeSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	for _, name := range pool.Mechanisms() {
@@ -453,7 +453,7 @@
 	is.True(err != nil)
 }
 
-// TestTimeoutIsStrongEvidence has one of two targets run out of time twice. It is avoided from then on.
+// TestTimeoutIsStrongEvidence has a request time out at one of two targets. The target is avoided from then on.
 func TestTimeoutIsStrongEvidence(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 3)
@@ -469,8 +469,8 @@
 }
 
 // TestWaitAtATargetIsNotItsServiceTime has requests wait behind others at a target, so that they take half as long
-// again as they are worked on. What is learned of its service time leaves the wait out, so that requests are not
-// refused too soon.
+// again as their service time. The service time learned leaves the wait out, so that requests are not refused too
+// soon.
 func TestWaitAtATargetIsNotItsServiceTime(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 1, 2)
