--- a/pool/choose.go
+++ b/pool/choose.go
@@ -7,38 +7,38 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// An Request struct is what a pool must know of a request.
+// Request is what a pool needs to know of a request to choose a target.
 type Request struct {
 	// Repeatable requests may be tried again after a failure.
 	Repeatable bool
-	// Priority says who waits when there is too much work; 0 goes first.
+	// Priority is the order in the queue; 0 goes first.
 	Priority uint32
 	// MayRetry says that another attempt may follow if this one fails.
 	MayRetry bool
-	// Began is when the request came, and Aim the time within which an answer is worth the most.
+	// Began is when the request arrived, Objective its latency objective: a response within it is worth the most.
 	Began     clock.Millis
 	Objective clock.Millis
-	// Deadline is when an answer is of no more use.
+	// Deadline is the time after which a response is useless.
 	Deadline clock.Millis
-	// Bytes is how large the request and its answer are likely to be, together.
+	// Bytes is the expected size of the request and its response together.
 	Bytes float64
-	// Exclude are targets that the request has been at.
+	// Exclude lists targets that the request has already been sent to.
 	Exclude []ident.Target
-	// Halls are those whose targets may have the request; nil stands for all.
+	// Halls limits the request to targets in these halls; nil allows all.
 	Halls map[ident.Hall]bool
 }
 
-// eligible says whether the request may go to the target, now or later.
+// eligible reports whether the request may go to the target, now or later.
 func (p *Pool) eligible(t *target, a *Request, now clock.Millis) bool {
 	return p.usable(t, now) && (a.Halls == nil || a.Halls[t.Hall]) && !slices.Contains(a.Exclude, t.ID)
 }
 
-// usable says whether the target may be given work.
+// usable reports whether the target may be given work.
 func (p *Pool) usable(t *target, now clock.Millis) bool {
 	return !t.removed && !t.Leaving && !t.announcedLeave && now >= t.blockedUntil && !t.closed(now)
 }
 
-// inFlight returns what all nodes are known to have at the target.
+// inFlight returns the number of requests that all nodes are known to have at the target.
 func (p *Pool) inFlight(t *target, now clock.Millis) int {
 	if !p.tuning.PeerLoad {
 		return t.localInFlight
@@ -46,9 +46,9 @@
 	return t.localInFlight + p.peersInFlight(t, now)
 }
 
-// peersInFlight returns what the other nodes are known to have at the target. It is summed once a millisecond, or when
-// one of them says more: a choice asks for it four times a target, and a node that hears a hundred others would spend
-// most of its processor time on the sums.
+// peersInFlight returns the number of requests that the other nodes are known to have at the target. The sum is
+// kept for a millisecond or until a peer reports: a choice reads it four times per target, and on a node with a
+// hundred peers the sums would take most of the CPU time.
 func (p *Pool) peersInFlight(t *target, now clock.Millis) int {
 	if t.peerInFlightAt != now {
 		t.peerInFlight, t.peerTriedAt, t.peerInFlightAt = 0, 0, now
@@ -64,8 +64,8 @@
 	return t.peerInFlight
 }
 
-// cost says how bad it is to send the request to the target, where it waits for so long; the least
-// is chosen. A request that fails costs 1, one that is late Tuning.LateCost.
+// cost returns the expected cost of sending the request to the target after the wait; the cheapest target is
+// chosen. A failed request costs Tuning.FailCost, a late response Tuning.LateCost.
 func (p *Pool) cost(t *target, a *Request, inFlight int, wait float64, now clock.Millis) float64 {
 	serviceTime := p.serviceTime
 	c := p.tuning.LoadCost * float64(inFlight) / float64(max(t.Slots, 1))
@@ -94,24 +94,24 @@
 	return c + failProb*failCost + (1-failProb)*p.tuning.LateCost*lateness(end, a)
 }
 
-// warmupSlowdown is how much longer a target that has just started takes.
+// warmupSlowdown is how many times longer a target takes just after its start.
 const warmupSlowdown = 2
 
-// onTimeShare is the share of a request's aim up to which it is certain to be in time, and lateShare
-// the share from which it is certain to be late.
+// A response within onTimeShare of the latency objective is certain to be on time, from lateShare on certain to be
+// late.
 const (
 	onTimeShare = 0.6
 	lateShare   = 1.2
 )
 
-// lateness is how likely an answer that is expected at the time is late.
+// lateness returns how likely a response that is expected at end is to be late.
 func lateness(end float64, a *Request) float64 {
 	took := (end - float64(a.Began)) / float64(max(a.Objective, 1))
 	return min(max((took-onTimeShare)/(lateShare-onTimeShare), 0), 1)
 }
 
-// queueWait is how long a request waits in this node's queue before one of the targets that are
-// known to be sound has a slot for it.
+// queueWait estimates how long a request waits in this node's queue until a target known to be healthy has a slot
+// for it.
 func (p *Pool) queueWait(now clock.Millis) float64 {
 	slots := 0.0
 	for _, t := range p.order {
@@ -122,7 +122,7 @@
 	return float64(p.waiting.Len()) * p.serviceTime / max(slots, 1)
 }
 
-// waitAt is how long a request waits for a slot at a target, behind those that are queued here.
+// waitAt estimates how long a request waits for a slot at the target, behind the requests queued here.
 func (p *Pool) waitAt(t *target, inFlight int, queued float64) float64 {
 	over := inFlight + 1 - t.Slots
 	if over <= 0 {
@@ -131,16 +131,16 @@
 	return float64(over)*p.serviceTime/float64(max(t.Slots, 1)) + queued
 }
 
-// A choice is a target for a request, or none.
+// A choice is the target chosen for a request; target is nil if there is none.
 type choice struct {
 	target *target
 	reason Reason
-	// runnerUp is the target that would have been chosen otherwise, if there was one.
+	// runnerUp is the second best target, if there was one.
 	runnerUp *target
 }
 
-// choose returns the best target for the request now, or none if it should wait for one. Pressed
-// requests, which have waited, may go to a target's own queue.
+// choose returns the best target for the request, or none if it should wait for one. With mayOvercommit, set for
+// requests that have waited for long, it may be a target's own queue.
 func (p *Pool) choose(a *Request, mayOvercommit bool) choice {
 	now := p.clock.Now()
 	if t, why := p.explore(a, now); t != nil {
@@ -148,7 +148,7 @@
 	}
 	var c choice
 	var least, second float64
-	var room, full bool // of the best so far: has it a slot, and may it have no more?
+	var room, full bool // best target so far: has a free slot; its own queue is full
 	queued := p.queueWait(now)
 	for _, t := range p.order {
 		if !p.eligible(t, a, now) || !t.admits(now) {
@@ -166,10 +166,10 @@
 		}
 	}
 	if full || !room && !mayOvercommit {
-		return choice{} // it is better to wait for this one than to go to one that has a slot free
+		return choice{} // waiting for the best target costs less than a free slot elsewhere
 	}
 	return c
 }
 
-// tieNoise is how much chance counts between targets that are nearly as good.
+// tieNoise is the amplitude of the random cost that decides between targets that are nearly as good.
 const tieNoise = 0.01
