--- a/pool/explore.go
+++ b/pool/explore.go
@@ -2,20 +2,21 @@
 
 import "github.com/tinladder/tinladder/clock"
 
-// A Reason says why a target was chosen.
+// Reason says why a target was chosen.
 type Reason int
 
-// Reasons, from the usual one on.
+// Reasons for a choice; Best is the normal one.
 const (
-	// Best targets cost the least.
+	// Best means that the target has the lowest cost.
 	Best Reason = iota
-	// Joined targets are new and were not tried yet.
+	// Joined means that the target is new and was not tried yet.
 	Joined
-	// Idle targets were not tried for long, and a repeatable request does no harm.
+	// Idle means that the target was not tried for long, and that the request is repeatable, so that a failure does
+	// no harm.
 	Idle
-	// Spread targets are tried since too few of those that may be sound had work of late.
+	// Spread means that too few of the targets that may be healthy had work recently.
 	Spread
-	// Spare targets are tried since too few slots are free at those that are known to be sound.
+	// Spare means that too few slots are free at targets known to be healthy.
 	Spare
 )
 
@@ -24,8 +25,8 @@
 	return [...]string{"best", "joined", "idle", "spread", "spare"}[r]
 }
 
-// explore returns a target that should be tried since too little is known of it, or nil. Only targets of this
-// node's part are tried, so that not all nodes try the same.
+// explore returns a target to try because too little is known of it, or nil. Only targets assigned to this node are
+// tried, so that nodes do not all try the same ones.
 func (p *Pool) explore(a *Request, now clock.Millis) (best *target, reason Reason) {
 	n, sparse := p.requiredCoverage(now), p.sparse(now)
 	underspread, lowCapacity := !sparse && p.belowCoverage(n, now), p.lowCapacity(now)
@@ -41,12 +42,12 @@
 	return best, reason
 }
 
-// maxJoinTrials bounds how many targets that joined are tried in a row after a time without any.
+// maxJoinTrials limits how many new targets are tried in a row after a time without any.
 const maxJoinTrials = 3
 
-// countTrial counts a request against what may be spent on targets that joined: while there are more targets than
-// requests can keep at work, a service that is replaced as a whole would have each request go to a target that nobody
-// knows, and fail as often as targets do.
+// countTrial charges a request against the allowance for trials of new targets. While there are more targets than
+// requests can keep at work, a service whose targets were all replaced would otherwise send each request to an
+// unknown target, and fail as often as targets do.
 func (p *Pool) countTrial(reason Reason) {
 	p.sawTraffic = true
 	if reason == Joined {
@@ -55,23 +56,23 @@
 	p.joinTrials = min(p.joinTrials+p.tuning.JoinShare, maxJoinTrials)
 }
 
-// trialStagger is how much longer each of the nodes that may try a target waits than the one before it: some ways
-// between nodes of a hall, so that the first one's trial is known.
+// trialStagger is the delay between successive nodes that may try a target: several network delays within a hall,
+// so that each node knows of the trial before its own.
 const trialStagger clock.Millis = 150
 
-// trialDelay is how much longer this node waits than the first one whose part the target is.
+// trialDelay is how much longer this node waits than the first one that the target is assigned to.
 func (t *target) trialDelay() clock.Millis {
 	return clock.Millis(t.TrialRank) * trialStagger
 }
 
-// trialConditions are what makes trials worth their harm, or not.
+// trialConditions decide whether a trial is worth the risk to the request.
 type trialConditions struct {
-	// spread says that the target should have work, lowCapacity that few slots are free, and sparse that there are more targets
-	// than requests can keep at work.
+	// spread says that the target should have work, lowCapacity that few slots are free, and sparse that there are
+	// more targets than requests can keep at work.
 	spread, lowCapacity, sparse bool
 }
 
-// trialReason says why the request should try the target, or Best if it should not.
+// trialReason returns why the request should try the target, or Best if it should not.
 func (p *Pool) trialReason(t *target, a *Request, c trialConditions, now clock.Millis) Reason {
 	delay := t.trialDelay()
 	worked := p.workedAt(t, now)
@@ -93,10 +94,10 @@
 	return Best
 }
 
-// reservedRetries are further attempts that trials leave for requests that fail by chance.
+// reservedRetries is the number of further attempts that trials leave for requests that fail by chance.
 const reservedRetries = 2
 
-// lowCapacity says whether too few slots are free at targets that are known to be sound.
+// lowCapacity reports whether too few slots are free at targets known to be healthy.
 func (p *Pool) lowCapacity(now clock.Millis) bool {
 	slots, used := 0, p.waiting.Len()
 	for _, t := range p.order {
@@ -112,8 +113,8 @@
 	return float64(used+1) > p.tuning.MaxUtilization*float64(slots)
 }
 
-// trialBefore says whether a is to be tried before b: one that all others reach, one that nobody has used, then the
-// likelier sound.
+// trialBefore reports whether a is to be tried before b: a target that all peers reach comes first, then one that
+// nobody has used, then the one more likely to be healthy.
 func (p *Pool) trialBefore(a, b *target, now clock.Millis) bool {
 	if x, y := p.peerCannotReach(a, now), p.peerCannotReach(b, now); x != y {
 		return y
@@ -124,9 +125,10 @@
 	return a.belief.FailingProb(&p.tuning.Model, now) < b.belief.FailingProb(&p.tuning.Model, now)
 }
 
-// peerCannotReach says whether another node could not reach the target of late, and nobody had an answer from it since. That may
-// be that node's way alone, so the target is tried all the same, after the others. An answer shows that it is: if it came
-// after the others still, the share that has no work would be the same targets all the time, those that some are cut from.
+// peerCannotReach reports whether another node recently could not reach the target, and nobody had a response from
+// it since. Only that node's network path may be broken, so the target is still tried, after the others. A response
+// since then shows that it is: if the target stayed last, the targets without work would always be those that some
+// nodes are cut off from.
 func (p *Pool) peerCannotReach(t *target, now clock.Millis) bool {
 	for _, s := range t.peers {
 		if s.unreachable && now-s.at <= p.tuning.PeerTTL && t.okAt < s.unreachableSince && !t.respondedToPeers(s.unreachableSince) {
