--- a/pool/lease.go
+++ b/pool/lease.go
@@ -6,23 +6,23 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A Lease struct is one request at one target.
+// Lease is one request at one target.
 type Lease struct {
 	pool   *Pool
 	target *target
 	// Target and Address name the target.
 	Target  ident.Target
 	Address string
-	// Reason says why the target was chosen, and Failing how likely it was thought to be failing.
+	// Reason says why the target was chosen, Failing how likely it was failing then.
 	Reason  Reason
 	Failing float64
-	// KnownAge is how old the last evidence on the target was; -1 if there was none.
+	// KnownAge is the age of the latest evidence on the target; -1 if there was none.
 	KnownAge clock.Millis
-	// RunnerUp names the target that would have been chosen otherwise, and NextFailing how likely it was
-	// thought to be failing.
+	// RunnerUp is the second best target, if any, and RunnerUpFailing the probability that it was failing.
 	RunnerUp        ident.Target
 	RunnerUpFailing float64
-	// InFlight is what all nodes were thought to have at the target, this request too, of Slots.
+	// InFlight is the number of requests that all nodes were known to have at the target, this one included, and
+	// Slots the target's slots.
 	InFlight, Slots int
 	start           clock.Millis
 	hall            ident.Hall
@@ -51,24 +51,24 @@
 	return l
 }
 
-// ServiceTime is how long a request usually takes at the service's targets.
+// ServiceTime returns the running mean of the service time at the pool's targets.
 func (l *Lease) ServiceTime() clock.Millis {
 	return l.pool.ServiceTime()
 }
 
-// ServiceTime is how long a request usually takes at a target.
+// ServiceTime returns the running mean of the service time at a target.
 func (p *Pool) ServiceTime() clock.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return clock.Millis(p.serviceTime)
 }
 
-// Start is when the lease began.
+// Start returns when the lease began.
 func (l *Lease) Start() clock.Millis {
 	return l.start
 }
 
-// Leaving says whether the target is known to leave, or to be gone: its process may end at any moment.
+// Leaving reports whether the target is known to be leaving, or to be gone: its process may end at any moment.
 func (l *Lease) Leaving() bool {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
@@ -76,8 +76,8 @@
 	return t.removed || t.Leaving || t.announcedLeave
 }
 
-// Done tells how the attempt ended. Only the first call counts. Closing says that the target
-// closes the connection.
+// Done records how the attempt ended. Only the first call counts. closing says that the target closes the
+// connection.
 func (l *Lease) Done(o Outcome, closing bool) {
 	p := l.pool
 	p.mu.Lock()
@@ -97,7 +97,7 @@
 	p.onChange(l.changeKind(urgent), l.hall)
 }
 
-// recordLate takes in that an answer did not come in the time that usual ones need.
+// recordLate records that no response came within the time that usual requests need.
 func (p *Pool) recordLate(t *target, now clock.Millis) {
 	p.updateBelief(t, "", now, func(b *belief.Belief) { b.ObserveLate(&p.tuning.Model, now) })
 	t.lateAt = now
@@ -105,7 +105,7 @@
 	t.reportPending = true
 }
 
-// changeKind says who should hear of the lease's begin or end.
+// changeKind returns what the start or end of the lease changes for other nodes.
 func (l *Lease) changeKind(evidence bool) ChangeKind {
 	switch {
 	case evidence:
@@ -116,7 +116,7 @@
 	return LocalLoad
 }
 
-// recordOutcome takes in how an attempt ended, and says whether other nodes should know at once.
+// recordOutcome updates the pool with the attempt's outcome, and reports whether other nodes should know at once.
 func (p *Pool) recordOutcome(l *Lease, o Outcome, closing bool) (urgent bool) {
 	now := p.clock.Now()
 	t := l.target
@@ -160,8 +160,8 @@
 	return urgent
 }
 
-// estimateServiceTime estimates how long the target worked on the lease's request: it took longer than that if there
-// was no free slot, since it waited behind the others.
+// estimateServiceTime estimates how long the target worked on the lease's request: without a free slot, part of the
+// time was spent waiting behind others.
 func (p *Pool) estimateServiceTime(l *Lease, now clock.Millis) float64 {
 	if !p.tuning.QueueTime {
 		return float64(now - l.start)
@@ -169,8 +169,8 @@
 	return float64(now-l.start) * float64(l.Slots) / float64(max(l.InFlight, l.Slots))
 }
 
-// noteClosing counts answers in a row that close their connection: a target that is leaving says
-// so in all of them, others in one now and then.
+// noteClosing counts consecutive responses that close their connection: a target that is leaving does so in all of
+// them, others occasionally.
 func (p *Pool) noteClosing(t *target, closing bool, now clock.Millis) bool {
 	if !closing {
 		t.closings = 0
@@ -184,7 +184,7 @@
 	return false
 }
 
-// markLeaving notes that the target itself said that it is leaving.
+// markLeaving records that the target itself announced that it is leaving.
 func (p *Pool) markLeaving(t *target, by ident.Node, now clock.Millis) {
 	if t.announcedLeave {
 		return
@@ -194,17 +194,17 @@
 }
 
 const (
-	// avoidAbove and returnBelow are how likely a target must be failing to be avoided, and not to be
-	// avoided any more.
+	// avoidAbove is the failing probability above which a target is avoided, returnBelow the one below which it is
+	// used normally again.
 	avoidAbove  = 0.5
 	returnBelow = 0.3
-	// notableRecovery is how likely a target must have been failing for its return to be news.
+	// notableRecovery is the failing probability above which a good response is reported to other nodes at once.
 	notableRecovery = 0.25
-	// smoothing is the part of a new service time in the running mean, 1/16.
+	// smoothing is the divisor of the running means: a new sample counts 1/16.
 	smoothing = 16
-	// maxBackoffFactor bounds how much longer a target is passed over each time.
+	// maxBackoffFactor limits how much longer an unreachable target is passed over each time.
 	maxBackoffFactor = 4
-	// closingsToLeave is how many answers in a row must close their connections for the target to
-	// be taken as leaving.
+	// closingsToLeave is how many consecutive responses must close their connections for the target to count as
+	// leaving.
 	closingsToLeave = 3
 )
