--- a/pool/reach_test.go
+++ b/pool/reach_test.go
@@ -10,15 +10,15 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// A node was cut from four in ten of its hall's targets, and of six sound targets of a service four had no work for two
-// seconds in which a fifth of its requests was not served. Eight of the nine that had none were tried in that time, by
-// the node that could not connect to them (`event=attempt_failed outcome=unreachable why=spread`). The trial was told as
-// a request in flight there and counted as work with all nodes, so that the next one in turn saw no reason to try
-// (`used=1828` on the second node, `used=3734` on the first, at the same moment).
+// A request in flight at a target counts as work there, on all nodes. A trial by a node that cannot connect to the
+// target must not: while it does, the next node in rank sees no reason to try, and a target that only the first
+// node cannot reach has no work in deep trouble. With a node cut off from four in ten of its hall's targets, four
+// of six healthy targets of a service were left out so for two seconds in which a fifth of its requests was not
+// served; eight of the nine targets without work were tried by the node that could not connect.
 
-// TestNextNodeTriesWhatTheFirstCannotReach has two nodes share ten targets in deep trouble. Three of them failed long
-// ago, and the node that tries them first cannot connect to them. All three must get work within half a second of when
-// they count as sound: the next one in turn tries them as soon as the first could not.
+// TestNextNodeTriesWhatTheFirstCannotReach has two nodes share ten targets in deep trouble. Three of them failed
+// long ago, and the node that tries them first cannot connect to them. All three must get work within half a second
+// of when they count as healthy: the next node tries them as soon as the first could not.
 func TestNextNodeTriesWhatTheFirstCannotReach(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -38,7 +38,7 @@
 		n.ApplyReport(third, &tlv1.Report{Seen: failed})
 	}
 	cut := func(n *node, id ident.Target) bool { return n == first && id <= "c" }
-	c.Advance(1900) // they count as sound again
+	c.Advance(1900) // they count as healthy again
 	worked, ends := map[ident.Target]bool{}, map[clock.Millis][]func(){}
 	for from := c.Now(); c.Now()-from < 500; c.Advance(10) {
 		for _, end := range ends[c.Now()] {
@@ -60,13 +60,12 @@
 	is.Equal(len(worked), 10)
 }
 
-// Ways to some targets were cut, and what was in flight there hung until its time limit, 1.5 s later. All that time it
-// was told as in flight and counted as work that had just come. Of 168 targets seven had no request for two seconds in
-// which 16% were not served: in six of them the last ones had hung (`outcome=late ms=1496`), and the nodes took them for
-// used 1.7 s before when it was 3.2 s (`used=1721`).
+// A request that hangs on a broken network path is reported as in flight until its time limit. If each report
+// counted as new work, the nodes would take the target for used until then: seven of 168 targets had no request for
+// two seconds in which 16% were not served, and were taken for used 1.7 s before when it was 3.2 s.
 
-// TestHungRequestsAreNoWorkForLong has another node's request hang at a target, told again and again as in flight there.
-// In deep trouble this node must try the target within the two seconds of the platform's floor.
+// TestHungRequestsAreNoWorkForLong has another node's request hang at a target, reported again and again as in
+// flight there. In deep trouble this node must try the target within the two seconds of the platform's floor.
 func TestHungRequestsAreNoWorkForLong(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 10, 3)
--- a/pool/trouble_test.go
+++ b/pool/trouble_test.go
@@ -19,8 +19,8 @@
 	return pool.Unserved
 }
 
-// TestSpreadsWhileTheServiceIsInTrouble has a fifth of all requests fail by chance: all targets must
-// get work within two seconds.
+// TestSpreadsWhileTheServiceIsInTrouble has a fifth of all requests fail by chance: all targets must get work
+// within two seconds.
 func TestSpreadsWhileTheServiceIsInTrouble(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 10, 3)
@@ -42,9 +42,9 @@
 	is.True(used >= 8)
 }
 
-// TestTargetsThatFailedLongAgoGetWorkInDeepTrouble has four of ten targets fail at the start, while a
-// fifth of all requests is not served throughout. Though they are still thought to be failing, they get
-// work again within two seconds of when they count as sound.
+// TestTargetsThatFailedLongAgoGetWorkInDeepTrouble has four of ten targets fail at the start, while a fifth of all
+// requests is not served throughout. Though still estimated to be failing, they get work again within two seconds
+// of when they count as healthy.
 func TestTargetsThatFailedLongAgoGetWorkInDeepTrouble(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 10, 3)
@@ -74,22 +74,15 @@
 	is.True(again >= 2) // eight of ten are more than the platform's seven
 }
 
-// Symptom: 14 to 18 of 34 to 39 sound targets of a service had no work for two seconds in which 16% of its requests
-// were not served; seven tenths must have.
-//
-// Sequence: a third of the targets crashed within a second; 143 of 168 had failed by then at some time, and 28 had
-// last failed more than 2 s before and were tried by nobody.
-//
-// Cause: of those to be tried while a service is in trouble, the least suspect come first, and a target that takes
-// no connection is suspected of nothing, since that may be the link of the node that tries. So each of some 40
-// nodes tried the crashed ones before those that failed long ago, and again 1.5 s later. Nodes told each other which
-// targets they cannot reach, and nobody used it.
-//
-// Settled by: 17 of 29 trials by reason of trouble (why=spread) that failed in the last 0.6 s ended with
-// outcome=unreachable.
+// In deep trouble, targets that peers cannot reach are tried last. A target that accepts no connection is not
+// estimated to be failing, since the path of the node that tries may be broken. If those least likely to be failing
+// come first regardless, each node tries crashed targets, again and again, before those that failed long ago: after
+// a third of 168 targets crashed within a second, 28 that had last failed more than 2 s before were tried by nobody
+// (17 of the last 29 failed trials could not connect), and 14 to 18 of 34 to 39 healthy targets of a service had no
+// work for two seconds in which 16% of its requests were not served. The floor asks for seven tenths.
 
-// TestTroubleDoesNotTryWhatOthersCannotReach has 12 of 20 targets take no connection, which another node tells of, and
-// six that failed long ago. In deep trouble five of those must get work with the next requests.
+// TestTroubleDoesNotTryWhatOthersCannotReach has 12 of 20 targets accept no connection, as another node reports,
+// and six that failed long ago. In deep trouble five of those six must get work with the next requests.
 func TestTroubleDoesNotTryWhatOthersCannotReach(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 20, 3)
@@ -106,7 +99,7 @@
 	}
 	peer := ident.Process{Node: "n2", Incarnation: 1}
 	n.ApplyReport(peer, &tlv1.Report{Seen: failed})
-	n.clock.Advance(2500) // those that failed count as sound again
+	n.clock.Advance(2500) // those that failed count as healthy again
 	const enough = 10     // requests, for six targets
 	tried := map[ident.Target]bool{}
 	for range enough {
@@ -128,15 +121,15 @@
 		}
 	}
 	t.Logf("%d of %d", got, len(failed))
-	is.True(got >= 5) // with the two that are sound, more than the platform's seven tenths of eight
+	is.True(got >= 5) // with the two healthy ones, more than the platform's seven tenths of eight
 }
 
-// Symptom: 4 of 6 sound targets of a service had no work for two seconds in which 45 of its 432 requests were not
-// served. Cause: a service of so many requests was in deep trouble only from 46 failures on, since failures by
-// chance are allowed for: above the tenth from which the platform holds it to its floor.
+// Failures are allowed for chance, but not beyond the tenth from which the platform holds a service to its floor:
+// with only the allowance for chance, a service of 432 requests was in deep trouble from 46 failures on, and with
+// 45 of them 4 of its 6 healthy targets had no work for two seconds.
 
-// TestATenthIsDeepTroubleWhateverTheLoad has just over a tenth of all requests fail, of few and of many. Targets that
-// failed long ago must get work.
+// TestATenthIsDeepTroubleWhateverTheLoad has just over a tenth of all requests fail, of few and of many. Targets
+// that failed long ago must get work.
 func TestATenthIsDeepTroubleWhateverTheLoad(t *testing.T) {
 	for _, asked := range []uint32{60, 120, 432, 1200, 5000} {
 		t.Run(fmt.Sprint(asked), func(t *testing.T) {
@@ -148,7 +141,7 @@
 			}
 			peer := ident.Process{Node: "n2", Incarnation: 1}
 			n.ApplyReport(peer, &tlv1.Report{Seen: failed})
-			n.clock.Advance(2500) // they count as sound again
+			n.clock.Advance(2500) // they count as healthy again
 			again := map[ident.Target]bool{}
 			for range 20 {
 				few := asked/10 + 1
@@ -165,8 +158,8 @@
 	}
 }
 
-// TestTrialsAreMadeOnce has a target fail on two nodes that share it, in deep trouble. The one whose turn is later must
-// not try it at the same moment as the first, and must try it if that one does not.
+// TestTrialsAreMadeOnce has a target fail on two nodes that share it, in deep trouble. The node of the later rank
+// must not try it at the same moment as the first, and must try it if the first does not.
 func TestTrialsAreMadeOnce(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -193,12 +186,12 @@
 		t.Fatal("never tried")
 		return 0
 	}
-	c.Advance(1900) // it counts as sound again
+	c.Advance(1900) // it counts as healthy again
 	is.True(triesAt(first) == 0)
 	is.True(triesAt(second) >= 40)
 }
 
-// busyExcept says that all of ten targets have requests, but for one.
+// busyExcept returns observations that all of ten targets but one have requests.
 func busyExcept(idle string) (seen []*tlv1.Seen) {
 	for _, x := range targets(10, 3) {
 		if string(x.ID) != idle {
