--- a/pool/tuning.go
+++ b/pool/tuning.go
@@ -5,75 +5,76 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// Tuning sets how a pool weighs and waits.
+// Tuning holds the weights and limits of a pool.
 type Tuning struct {
 	Model belief.Model
-	// FailCost is what a failure costs a request that cannot be repeated, and RetryCost one that can.
+	// FailCost is the cost of a failure to a request that cannot be repeated, RetryCost to one that can.
 	FailCost, RetryCost float64
-	// LateCost is what an answer costs that comes, and comes late.
+	// LateCost is the cost of a response that comes late.
 	LateCost float64
-	// CrossHallCost is what a target in another hall costs, and CrossHallByteCost what each byte that goes there and
-	// back adds.
+	// CrossHallCost is the cost of a target in another hall, CrossHallByteCost the additional cost per byte sent
+	// there and back.
 	CrossHallCost, CrossHallByteCost float64
-	// CrossRegionCost is what a target in another region costs besides: the way there is long, and dear.
+	// CrossRegionCost is the additional cost of a target in another region: the path there is long and expensive.
 	CrossRegionCost float64
-	// LoadCost is what each slot in use costs, as a share of the slots.
+	// LoadCost is the cost of a target with all slots in use; it is proportional to the share in use.
 	LoadCost float64
 	// UnreachableBackoff is how long a target is passed over that this node cannot connect to.
 	UnreachableBackoff clock.Millis
-	// PeerTTL is how long what another node has in flight is counted without hearing it again.
+	// PeerTTL is how long another node's requests in flight count without a new report from it.
 	PeerTTL clock.Millis
-	// Hold is the share of a request's aim that it may wait for a free slot before it is given to a
+	// Hold is the share of a request's latency objective that it may wait for a free slot before it is given to a
 	// target's own queue.
 	Hold float64
-	// Overcommit is how many requests may be in a target's own queue, as a multiple of its slots. What waits here goes
-	// to whoever is free first, so few wait there. None would leave targets idle for as long as word of a free slot takes.
+	// Overcommit is how many requests may be in a target's own queue, as a multiple of its slots. Requests that
+	// wait at the node go to whichever target is free first, so few wait at a target. With none there, targets
+	// would idle until the report of a free slot arrives.
 	Overcommit float64
 	// JoinWait is how soon a new target is tried, with any request.
 	JoinWait clock.Millis
-	// JoinShare is the part of the requests that may try new targets while there are more targets than requests can keep
-	// at work.
+	// JoinShare is the share of the requests that may try new targets while there are more targets than requests
+	// can keep at work.
 	JoinShare float64
-	// ExploreIdle is how long a target may go without requests before a repeatable one tries it, and
-	// SpreadIdle before any does where too few targets have work: so much less than the two seconds of the
-	// platform's floor that the next request comes and arrives in time.
+	// ExploreIdle is how long a target may go without requests before a repeatable one tries it, SpreadIdle before
+	// any request does where too few targets have work. SpreadIdle is below the two seconds of the platform's floor
+	// by enough for the next request to come and arrive in time.
 	ExploreIdle, SpreadIdle clock.Millis
-	// CalmSpread is the share of the targets that are likely sound that must have work at any time.
+	// CalmSpread is the share of the targets likely to be healthy that must have work at any time.
 	CalmSpread float64
-	// SparseBelow is how many requests there must be, as a multiple of the targets that are to have work, for work to be
-	// spread and idle targets to be tried at all (docs/design/16-shifted.md).
+	// SparseBelow is how many requests there must be, as a multiple of the targets that are to have work, for work
+	// to be spread and idle targets to be tried at all (docs/design/16-shifted.md).
 	SparseBelow float64
-	// DeepSpread is the share of all targets that did not fail just now that must have work in deep trouble: while
-	// more than FloorShare of the requests fail, somewhat less than the tenth from which on the platform holds
-	// the service to its floor. FloorLimit is the share from which on failures count whether they may be chance or
-	// not: just under that tenth.
+	// DeepSpread is the share of all targets that did not fail just now that must have work in deep trouble, which
+	// is while more than FloorShare of the requests fail: somewhat less than the tenth from which on the platform
+	// holds the service to its floor. From FloorLimit on, just under that tenth, failures count whether they may be
+	// chance or not.
 	DeepSpread             float64
 	FloorShare, FloorLimit float64
-	// TroubleWindow is how long requests count as such of late.
+	// TroubleWindow is the time span of the requests that count as recent.
 	TroubleWindow clock.Millis
-	// RecoveryTime is how long after a failure a target may count as sound again (2 s on the platform).
+	// RecoveryTime is how long after a failure a target may count as healthy again (2 s on the platform).
 	RecoveryTime clock.Millis
-	// SpareBelow is how likely a target may be failing that is tried since few slots are free.
+	// SpareBelow is the failing probability below which a target is tried when few slots are free.
 	SpareBelow float64
-	// MaxUtilization is the share of the slots of targets that are known to be sound that may be in use
-	// before another target is tried, with any request; HealthyBelow is how likely a target that is
-	// known to be sound may be failing.
+	// MaxUtilization is the share of the slots of targets known to be healthy that may be in use before another
+	// target is tried, with any request; HealthyBelow is the failing probability below which a target is known to
+	// be healthy.
 	MaxUtilization, HealthyBelow float64
-	// MaxFailTime bounds the time until a failure shows, in service times: by then another attempt is
-	// made. 0 has failures show at once.
+	// MaxFailTime limits the time until a failure shows, in service times: by then another attempt is made. 0 means
+	// that failures show at once.
 	MaxFailTime float64
-	// QueueTime takes the wait at a target out of the service times that are learned. With it the wait for
-	// a sound target is not thought twice as long, and 0.2 to 0.3 points more of all requests are served.
+	// QueueTime excludes the wait at a target from the service times that are learned. Otherwise the wait for a
+	// healthy target is estimated twice as long, and 0.2 to 0.3 percentage points fewer of all requests are served.
 	QueueTime bool
-	// PeerLoad counts what other nodes have in flight.
+	// PeerLoad includes what other nodes have in flight.
 	PeerLoad bool
-	// Hedge allows a second attempt beside one that takes long.
+	// Hedge allows a second attempt beside a slow one.
 	Hedge bool
-	// FirstServiceTime is assumed until answers have been seen.
+	// FirstServiceTime is the service time assumed until responses have been seen.
 	FirstServiceTime clock.Millis
 }
 
-// DefaultTuning was chosen by measurement (docs/design/12-choice.md).
+// DefaultTuning is the tuning for the platform's load patterns (docs/design/12-choice.md).
 var DefaultTuning = Tuning{
 	Model:              belief.DefaultModel,
 	FailCost:           1,
