--- a/pool/queue.go
+++ b/pool/queue.go
@@ -8,14 +8,14 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// minRetryAfter is the least that callers are told to wait.
+// minRetryAfter is the least time that callers are told to wait.
 const minRetryAfter clock.Millis = 100
 
 type waiter struct {
-	request     *Request
+	request *Request
 	granted chan grant
 	element *list.Element
-	// mayOvercommit waiters may be given to a target's own queue.
+	// mayOvercommit says that the waiter may be given to a target's own queue.
 	mayOvercommit bool
 }
 
@@ -69,7 +69,7 @@
 	return l
 }
 
-// tryEnter gives the request a slot or an error at once, or neither if it should wait.
+// tryEnter returns a lease or an error at once, or neither if the request should wait.
 func (p *Pool) tryEnter(a *Request) (*Lease, error) {
 	if !p.anyUsable(a) {
 		return nil, ErrNoTarget
@@ -82,7 +82,7 @@
 	return nil, p.checkDeadline(a)
 }
 
-// isNext says whether nobody waits who goes before the request.
+// isNext reports whether no waiter goes before the request.
 func (p *Pool) isNext(a *Request) bool {
 	e := p.waiting.Front()
 	return e == nil || e.Value.(*waiter).request.Priority > a.Priority
@@ -98,7 +98,7 @@
 	return false
 }
 
-// checkDeadline returns why the request should not wait, or nil.
+// checkDeadline returns an error if the request would miss its deadline in the queue.
 func (p *Pool) checkDeadline(a *Request) error {
 	wait := p.expectedWait(a)
 	if left := a.Deadline - p.clock.Now(); wait+clock.Millis(p.serviceTime) > left {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// expectedWait is how long the request would wait for a slot at a target that is likely sound, behind
+// expectedWait estimates how long the request would wait for a slot at a target that is likely healthy, behind
 // those that go before it.
 func (p *Pool) expectedWait(a *Request) clock.Millis {
 	ahead := 1
@@ -127,7 +127,7 @@
 	return clock.Millis(float64(ahead+over) * p.serviceTime / max(slots, 1))
 }
 
-// insert puts the waiter behind those of its rank.
+// insert queues the waiter behind those of its rank.
 func (p *Pool) insert(w *waiter) {
 	for e := p.waiting.Back(); e != nil; e = e.Prev() {
 		if e.Value.(*waiter).request.Priority <= w.request.Priority {
@@ -138,7 +138,8 @@
 	w.element = p.waiting.PushFront(w)
 }
 
-// wait waits for a grant. After a share of the request's aim it may go to a target's own queue.
+// wait waits for a grant. After the share Tuning.Hold of the latency objective the request may go to a target's own
+// queue.
 func (p *Pool) wait(ctx context.Context, w *waiter) (*Lease, error) {
 	hold := time.NewTimer(time.Duration(p.tuning.Hold * float64(w.request.Objective.Duration())))
 	defer hold.Stop()
@@ -171,7 +172,7 @@
 	deliver(grants)
 }
 
-// abandonWait takes the waiter out of the queue. A grant that came just then is used.
+// abandonWait removes the waiter from the queue. A grant made at the same moment is used.
 func (p *Pool) abandonWait(w *waiter, err error) (*Lease, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,11 +185,11 @@
 	return nil, err
 }
 
-// maxSkipped is how many waiters in a row may find no slot before the others are not looked at: each look
-// weighs all targets, and a long queue would take the node's processor time.
+// maxSkipped is how many consecutive waiters may find no slot before the scan of the queue stops: each check weighs
+// all targets, and a long queue would take the node's CPU time.
 const maxSkipped = 3
 
-// grantWaiting hands out slots to those who wait, in their order.
+// grantWaiting hands out slots to the waiters in queue order.
 func (p *Pool) grantWaiting() []grant {
 	var grants []grant
 	skipped := 0
@@ -205,7 +206,7 @@
 	return grants
 }
 
-// grantTo takes a waiter out of the queue if there is a slot for it, or can be none.
+// grantTo removes the waiter from the queue if there is a slot for it, or can be none.
 func (p *Pool) grantTo(w *waiter) (g grant, granted bool) {
 	c := p.choose(w.request, w.mayOvercommit)
 	switch {
