--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -12,9 +12,9 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// BenchmarkReportWithALongQueue has another node report load while 60 requests wait here for 168 targets
-// that 50 nodes keep full. With every waiter weighing every target, and summing 50 nodes each time, a report
-// takes 25.6 ms; with sums kept and three waiters looked at 0.02 ms (one run each, machine of 8 cores).
+// BenchmarkReportWithALongQueue has another node report load while 60 requests wait here for 168 targets that 50
+// nodes keep full. If every waiter weighs every target, summing 50 nodes each time, a report takes 25.6 ms; with
+// sums kept and three waiters checked, 0.02 ms (8 cores).
 func BenchmarkReportWithALongQueue(b *testing.B) {
 	c := clock.NewManual(1000)
 	n := newNode(c, "n0")
--- a/pool/life_test.go
+++ b/pool/life_test.go
@@ -9,8 +9,8 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// TestNewLifeKnowsNothingOfTheOld has a target leave by its own word, and start again under its id: it gets work, also
-// where another node that has not heard of that still says that it left.
+// TestNewLifeKnowsNothingOfTheOld has a target announce that it leaves, and restart under its id: it gets work,
+// even if another node that does not know of the restart still reports that it left.
 func TestNewLifeKnowsNothingOfTheOld(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -36,11 +36,11 @@
 	is.True(n1.TryAcquire(n1.request(false)) != nil)
 	c.Advance(10_000)
 	n1.ApplyReport(n2.name, old)
-	is.True(n1.TryAcquire(n1.request(false)) == nil) // by now a node that still says so means this life
+	is.True(n1.TryAcquire(n1.request(false)) == nil) // by now such a report is of this generation
 	n2.SetTargets(again)
 	told := n2.Report(true)
 	for _, s := range told.GetSeen() {
-		is.True(s.GetLife() != 0) // and says which one it means
+		is.True(s.GetLife() != 0) // reports now name the generation
 	}
 	stale := &tlv1.Report{Seen: []*tlv1.Seen{{Target: "a", Leaving: true, Life: 7, OkMs: -1, FailedMs: -1}}}
 	n2.ApplyReport(n1.name, stale)
--- a/pool/share.go
+++ b/pool/share.go
@@ -7,18 +7,18 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// refreshesPerTTL is how often a load that does not change is told while it counts without being heard.
+// refreshesPerTTL is how often an unchanged load is reported again within Tuning.PeerTTL.
 const refreshesPerTTL = 3
 
-// permille is the unit of likelihoods in reports.
+// permille is the unit of probabilities in reports.
 const permille = 1000
 
-// never stands for an age of what never was.
+// never stands for the age of something that did not happen yet.
 const never = -1
 
-// Report returns what this node has seen of the targets that changed since the last call, and now
-// and then of those that it has requests at, or of all if whole, for the other nodes; nil if there is
-// nothing to tell.
+// Report returns what this node has observed of the targets that changed since the last call, and periodically of
+// those that it has requests at, or of all that it has evidence on if whole is set. It returns nil if there is
+// nothing to report.
 func (p *Pool) Report(whole bool) *tlv1.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,13 +48,13 @@
 }
 
 const (
-	// lifeBits of a life are told: two lives of one target are told apart by them.
+	// lifeBits masks the bits of Target.Life that are reported: enough to distinguish two generations of a target.
 	lifeBits = 0xffff
-	// restartGrace is how long after a target started again another node may not have heard of it.
+	// restartGrace is how long after a target's restart other nodes may not know of it.
 	restartGrace = 5 * clock.Second
 )
 
-// reportedLife is the target's life as other nodes are told of it; 0 if this node knows of no other.
+// reportedLife returns the target's generation for reports; 0 if this node knows of no restart.
 func (t *target) reportedLife() uint32 {
 	if t.restartedAt == 0 {
 		return 0
@@ -66,8 +66,8 @@
 	return uint32(t.Life&lifeBits) | (lifeBits + 1)
 }
 
-// otherLife says whether what another node has seen is of another life of the target: what it says of failures or
-// of leaving is nothing to the present one.
+// otherLife reports whether another node's observation is of another generation of the target: its failures and its
+// leaving do not apply to the present one.
 func (t *target) otherLife(s *tlv1.Seen, now clock.Millis) bool {
 	if s.GetLife() != 0 {
 		return s.GetLife() != t.lifeTag()
@@ -82,7 +82,7 @@
 	return int64(now - at)
 }
 
-// ApplyReport takes in another node's report.
+// ApplyReport merges another node's report.
 func (p *Pool) ApplyReport(from ident.Process, r *tlv1.Report) {
 	p.mu.Lock()
 	now := p.clock.Now()
@@ -99,7 +99,7 @@
 	p.emit(events)
 }
 
-// maxFailuresPerReport bounds how many failures one report counts for.
+// maxFailuresPerReport limits how many failures one report counts for.
 const maxFailuresPerReport = 2
 
 func (p *Pool) applySeen(t *target, from ident.Process, s *tlv1.Seen, now clock.Millis) {
@@ -152,8 +152,8 @@
 	}
 }
 
-// inferWork notes what the report says of work at the target. A request in flight may be one that cannot connect, which
-// shows when it ends.
+// inferWork derives from the report when the target had work. A request in flight may be one that cannot connect,
+// which shows when it ends.
 func (p *Pool) inferWork(t *target, peer *peerView, s *tlv1.Seen, now clock.Millis) {
 	switch {
 	case int(s.GetInFlight()) > peer.inFlight:
@@ -164,8 +164,8 @@
 }
 
 const (
-	// minOKGap is how much later an answer must be than the last one to be another.
+	// minOKGap is how much later than the last one a response must be to count as a new one.
 	minOKGap clock.Millis = 5
-	// maxOKAge is how old a good answer may be to count.
+	// maxOKAge is how old a good response may be to count.
 	maxOKAge clock.Millis = 500
 )
