--- a/pool/way.go
+++ b/pool/way.go
@@ -2,19 +2,20 @@
 
 import "github.com/tinladder/tinladder/clock"
 
-// Way or target? A request that runs out of time says that the target is failing, or that this node's way to it is cut.
-// What is held against the target has all nodes avoid it.
+// A request that times out means that the target is failing, or that this node's network path to it is broken.
+// Evidence against the target has all nodes avoid it.
 //
-// The load pattern: a node loses its ways to half of the targets. What it has there hangs until its time limit and ends
-// all at once, seconds later. New connections fail at once by then, and the other nodes have answers all that time. Held
-// against the target, it would keep more sound targets without work.
+// The load pattern: a node loses its paths to half of the targets. Its requests there hang until their time limit
+// and all end at once, seconds later. By then new connections fail at once, and the other nodes have had responses
+// all that time. Counted against the targets, the timeouts would leave more healthy targets without work.
 
-// minBrokenPaths is how many other ways must be cut for the node's way to a target to be taken as cut too, which this node has
-// not tried since: with one, that target alone may take no connections from here.
+// minBrokenPaths is how many other paths must be broken for this node's path to a target that it has not tried
+// since to count as broken too. One is not enough: that target alone may accept no connections from here.
 const minBrokenPaths = 2
 
-// pathAtFault says whether it is the way that is at fault when a request ran out of time at the target that was given to it
-// then: others had answers from it since, and this node cannot connect to it, or not to some others that answer others.
+// pathAtFault reports whether the network path is at fault when a request timed out that was sent to the target at
+// from: other nodes had responses from it since, and this node cannot connect to it, or not to several others that
+// respond to other nodes.
 func (p *Pool) pathAtFault(t *target, from clock.Millis) bool {
 	if !t.respondedToPeers(from) {
 		return false
@@ -31,12 +32,13 @@
 	return cut >= minBrokenPaths
 }
 
-// pathBrokenSince says whether this node could not connect to the target since then, and has had no answer after.
+// pathBrokenSince reports whether this node could not connect to the target since then, and has had no response
+// after that.
 func (t *target) pathBrokenSince(from clock.Millis) bool {
 	return t.unreachableAt >= from && t.okAt < t.unreachableAt
 }
 
-// respondedToPeers says whether other nodes are known to have had answers from the target since then.
+// respondedToPeers reports whether other nodes are known to have had responses from the target since then.
 func (t *target) respondedToPeers(since clock.Millis) bool {
 	for _, s := range t.peers {
 		if s.okAt >= since {
--- a/pool/way_test.go
+++ b/pool/way_test.go
@@ -11,7 +11,7 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// acquireAt gives the target a request of the node.
+// acquireAt returns a lease of the node on the target.
 func acquireAt(t *testing.T, n *node, id ident.Target) *pool.Lease {
 	t.Helper()
 	a := n.request(false)
@@ -23,7 +23,8 @@
 	return n.mustAcquire(t, a)
 }
 
-// newPair returns two nodes that share ten targets and tell each other what they see. The first tries each target first.
+// newPair returns two nodes that share ten targets and report to each other. The first node tries each target
+// first.
 func newPair() (c *clock.Manual, first, second *node) {
 	c = clock.NewManual(1000)
 	first, second = newNode(c, "n1"), newNode(c, "n2")
@@ -38,28 +39,28 @@
 	return c, first, second
 }
 
-// One of two nodes was cut from six in ten targets. What it had there hung until its time limit, 5 s later, and was told
-// as time limits at these targets. Both nodes then thought them to be failing (0.5 to 0.8), though the other node had
-// answers from them all that time, and gave them no work for 2 to 7 s: in 3.5 of 100 windows of two seconds under seven
-// tenths of the sound targets had work.
+// Timeouts of a node on its broken network paths must not count against the targets. If they do, all nodes avoid
+// targets that respond to the others: with one of two nodes cut off from six in ten targets and a time limit of 5
+// s, these were estimated to be failing (0.5 to 0.8) and had no work for 2 to 7 s, and in 3.5 of 100 windows of two
+// seconds under seven tenths of the healthy targets had work.
 
-// TestTimeLimitsInCutWaysAreNotTheTargets has a request run out of time at a target, on a node that cannot connect to
-// some. It says nothing of the target if another node had an answer there since, and this node could not connect to it,
-// or not to two others that answered others.
+// TestTimeLimitsInCutWaysAreNotTheTargets has a request time out at a target, on a node that cannot connect to
+// some. It is no evidence against the target if another node had a response there since, and this node could not
+// connect to it, or not to two others that respond to other nodes.
 func TestTimeLimitsInCutWaysAreNotTheTargets(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// unreachable is where the node cannot connect once the request is on its way, before and since where the other
-		// node has answers before the request and after that.
+		// unreachable is where the node cannot connect after the request was sent, before and since where the other
+		// node has responses before and after the request.
 		unreachable, before, since []ident.Target
 		failing                    bool
 	}{
-		{name: "no connection, answers to others", unreachable: []ident.Target{"a"}, since: []ident.Target{"a"}},
-		{name: "two other ways cut", unreachable: []ident.Target{"b", "c"}, since: []ident.Target{"a", "b", "c"}},
-		{name: "one other way cut", unreachable: []ident.Target{"b"}, since: []ident.Target{"a", "b", "c"}, failing: true},
+		{name: "no connection, responses to others", unreachable: []ident.Target{"a"}, since: []ident.Target{"a"}},
+		{name: "two other paths broken", unreachable: []ident.Target{"b", "c"}, since: []ident.Target{"a", "b", "c"}},
+		{name: "one other path broken", unreachable: []ident.Target{"b"}, since: []ident.Target{"a", "b", "c"}, failing: true},
 		{name: "two others dead", unreachable: []ident.Target{"b", "c"}, since: []ident.Target{"a"}, failing: true},
-		{name: "no way cut", since: []ident.Target{"a", "b", "c"}, failing: true},
-		{name: "no answer since", unreachable: []ident.Target{"a", "b", "c"}, before: []ident.Target{"a"}, since: []ident.Target{"b", "c"}, failing: true},
+		{name: "no path broken", since: []ident.Target{"a", "b", "c"}, failing: true},
+		{name: "no response since", unreachable: []ident.Target{"a", "b", "c"}, before: []ident.Target{"a"}, since: []ident.Target{"b", "c"}, failing: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -87,12 +88,13 @@
 	}
 }
 
-// A node had two requests that hung at each of the targets that it was cut from, and tried these again every 1.5 to 6 s.
-// Each trial ended without a connection, and left the two in flight: so the other node took the target for used at the
-// time of the trial, again and again, and did not give it work for 4.8 s.
+// A node that is cut off from a target has requests that hang there, and tries the target again. If a trial that
+// ends without a connection counts as work, since requests remain in flight, the other node takes the target for
+// used each time, and gives it no work (for 4.8 s, with two hung requests at each target and a trial every 1.5 to 6
+// s).
 
-// TestTrialBesideHungRequestsIsNoWork has a node's request hang at a target, and another one not connect there. The
-// other node must try the target within the two seconds of the platform's floor.
+// TestTrialBesideHungRequestsIsNoWork has a node's request hang at a target, and another one fail to connect there.
+// The other node must try the target within the two seconds of the platform's floor.
 func TestTrialBesideHungRequestsIsNoWork(t *testing.T) {
 	is := is.New(t)
 	c, first, second := newPair()
@@ -114,17 +116,18 @@
 	is.True(tried)
 }
 
-// Targets that another node cannot reach are tried last. Where that node alone is cut, work that is spread to three
-// quarters of the targets always left out the same ones, that only the others could reach: 10 of 21 targets that count
-// were without work while 0.76 of what the other node took for sound had some.
+// Targets that another node cannot reach are tried last, until there is a response from them. Without the
+// exception, if that node alone is cut off, work that is spread to three quarters of the targets always leaves out
+// the same ones, which only the others can reach: 10 of 21 targets that count were without work, while 0.76 of
+// those that the other node took for healthy had some.
 
-// TestAnswerSinceEndsDoubt has another node say of three targets that it cannot reach them. They are tried last, unless
-// this node has had answers there since.
+// TestAnswerSinceEndsDoubt has another node report that it cannot reach three targets. They are tried last, unless
+// this node has had responses there since.
 func TestAnswerSinceEndsDoubt(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		since bool
-	}{{"answer before", false}, {"answer since", true}} {
+	}{{"response before", false}, {"response since", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			n := newSingleNode(t, 10, 3)
@@ -137,7 +140,7 @@
 				for _, x := range targets(10, 3) {
 					acquireAt(t, n, x.ID).Done(pool.Good, false)
 				}
-				for _, id := range []ident.Target{"a", "b", "c"} { // likelier sound than the others
+				for _, id := range []ident.Target{"a", "b", "c"} { // more likely healthy than the others
 					acquireAt(t, n, id).Done(pool.Good, false)
 				}
 			}
