--- a/pool/budget.go
+++ b/pool/budget.go
@@ -6,14 +6,14 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A RetryBudget struct bounds further attempts of requests for one service to a share of the requests
-// themselves, and a little more, within a window. Each node keeps to its own part, so that the
-// fleet keeps to the whole without having to ask. It is safe for concurrent use.
+// RetryBudget limits the retries and hedges of one service to a share of its requests plus a fixed slack, within a
+// sliding window. Each node keeps to its own part of the fleet's budget, so nodes need not coordinate. It is safe
+// for concurrent use.
 type RetryBudget struct {
 	clock clock.Clock
 
 	mu sync.Mutex
-	// ratio is how many further attempts each request allows, and slack how many more there may be.
+	// ratio is the number of further attempts allowed per request, slack the number allowed on top.
 	ratio    float64
 	slack    float64
 	window   clock.Millis
@@ -21,20 +21,19 @@
 	retries  []clock.Millis
 }
 
-// NewRetryBudget returns a budget that allows ratio further attempts for each request, and slack more,
-// within any window.
+// NewRetryBudget returns a budget that allows ratio further attempts per request, plus slack, within any window.
 func NewRetryBudget(c clock.Clock, ratio, slack float64, window clock.Millis) *RetryBudget {
 	return &RetryBudget{clock: c, ratio: ratio, slack: slack, window: window}
 }
 
-// SetSlack changes how many further attempts there may be besides the share.
+// SetSlack sets how many further attempts are allowed on top of the ratio.
 func (b *RetryBudget) SetSlack(slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slack = slack
 }
 
-// AddRequest counts a request.
+// AddRequest counts the first attempt of a request.
 func (b *RetryBudget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,7 +41,7 @@
 	b.requests = append(dropUntil(b.requests, now-b.window), now)
 }
 
-// Allow says whether one more attempt may be made, and counts it.
+// Allow reports whether another attempt may be made, and counts it if so.
 func (b *RetryBudget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,7 +55,7 @@
 	return true
 }
 
-// Remaining returns how many further attempts there may be now.
+// Remaining returns how many further attempts the budget allows now.
 func (b *RetryBudget) Remaining() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,7 +65,7 @@
 	return b.ratio*float64(len(b.requests)) + b.slack - float64(len(b.retries))
 }
 
-// dropUntil drops the times up to the bound; they are in order.
+// dropUntil removes the times up to and including bound; times are in ascending order.
 func dropUntil(times []clock.Millis, bound clock.Millis) []clock.Millis {
 	n := 0
 	for n < len(times) && times[n] <= bound {
