--- a/pool/cold.go
+++ b/pool/cold.go
@@ -2,16 +2,17 @@
 
 import "github.com/tinladder/tinladder/clock"
 
-// WarmupBurst is what a node may send at once to a cold target, beside what it may send by the second.
+// WarmupBurst is the number of requests that a node may send at once to a target that is warming up, on top of its
+// rate.
 const WarmupBurst = 1
 
-// A tokenBucket is what this node may send to one cold target. Its zero value holds the burst.
+// A tokenBucket limits what this node sends to one target that is warming up. Its zero value is full.
 type tokenBucket struct {
 	used float64
 	at   clock.Millis
 }
 
-// allow says whether the node may send one more request now, at the rate a second.
+// allow reports whether the node may send one more request now, at the rate per second.
 func (b *tokenBucket) allow(now clock.Millis, perSecond float64) bool {
 	return perSecond > 0 && b.debt(now, perSecond) <= 0
 }
@@ -21,27 +22,28 @@
 	b.used, b.at = b.debt(now, perSecond)+WarmupBurst, now
 }
 
-// debt is what was used and has not come back yet.
+// debt returns what was taken and has not been refilled by now.
 func (b *tokenBucket) debt(now clock.Millis, perSecond float64) float64 {
 	return max(b.used-float64(max(now-b.at, 0))*perSecond/float64(clock.Second), 0)
 }
 
-// warmingUp says whether what the target gets is bounded now.
+// warmingUp reports whether the target is rate-limited now.
 func (t *target) warmingUp(now clock.Millis) bool {
 	return now < t.WarmupUntil
 }
 
-// closed says that the target may get nothing from this node, however long a request waits.
+// closed reports whether the target may get nothing from this node, however long a request waits.
 func (t *target) closed(now clock.Millis) bool {
 	return t.Evacuated || t.warmingUp(now) && t.WarmupRate <= 0
 }
 
-// admits says whether the target may get a request from this node now.
+// admits reports whether the target may get a request from this node now.
 func (t *target) admits(now clock.Millis) bool {
 	return !t.warmingUp(now) || t.warmupBucket.allow(now, t.WarmupRate)
 }
 
-// concurrency is how many requests the target may have at a time: a cold one has as many as come at its rate.
+// concurrency returns how many requests the target may have at a time; while it is warming up, as many as its rate
+// keeps in flight.
 func (p *Pool) concurrency(t *target, now clock.Millis) float64 {
 	if !t.warmingUp(now) {
 		return float64(t.Slots)
@@ -49,7 +51,8 @@
 	return min(float64(t.Slots), t.WarmupRate*p.serviceTime*warmupSlowdown/float64(clock.Second))
 }
 
-// Wake gives requests that wait to cold targets that may get one more by now. Call it about ten times a second.
+// Wake gives waiting requests to targets that are warming up and whose rate allows one more by now. Call it about
+// ten times a second.
 func (p *Pool) Wake() {
 	p.mu.Lock()
 	now := p.clock.Now()
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -12,7 +12,8 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestColdTargetsGetTheirRate asks for far more than a cold target may get, once it is cold and once it is no longer.
+// TestColdTargetsGetTheirRate requests far more than a target may get while it is warming up, then and once it no
+// longer is.
 func TestColdTargetsGetTheirRate(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -28,15 +29,15 @@
 		}
 		c.Advance(10)
 	}
-	is.True(sent >= 10 && sent <= 11) // 5 a second for 2 s, and the burst
+	is.True(sent >= 10 && sent <= 11) // 5 a second for 2 s, plus the burst
 	c.Advance(1000)
 	for range 50 {
 		is.True(n.TryAcquire(n.request(true)) != nil)
 	}
 }
 
-// TestColdTargetsOfOtherNodesGetNothing has another node send to the only target: a request is refused at once, not when
-// its time is over.
+// TestColdTargetsOfOtherNodesGetNothing has another node send to the only target: a request is refused at once, not
+// at its deadline.
 func TestColdTargetsOfOtherNodesGetNothing(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -52,7 +53,7 @@
 	is.True(errors.Is(err, pool.ErrNoTarget))
 }
 
-// TestRequestsWaitForColdTargets has a request wait until its target may get one more.
+// TestRequestsWaitForColdTargets has a request wait until the rate of its target allows one more.
 func TestRequestsWaitForColdTargets(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -76,7 +77,7 @@
 	is.NoErr(<-got)
 }
 
-// TestRequestsStayInTheirHalls has a request that only some halls may serve, while those have no room.
+// TestRequestsStayInTheirHalls has a request that only targets of some halls may serve, while those are full.
 func TestRequestsStayInTheirHalls(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
