--- a/pool/deal.go
+++ b/pool/deal.go
@@ -1,44 +1,44 @@
 package pool
 
 const (
-	// RatioShare is the part of the fleet's ratio of retries that each node uses, of its own requests.
+	// RatioShare is the share of the fleet's retry ratio that each node applies to its own requests.
 	RatioShare = 0.93
-	// carrierSlack is the part of the fleet's slack of retries that is dealt to the nodes that carry
-	// a service, and otherSlack the part dealt to all others. What is left is for nodes that hold
-	// different views of who carries it.
+	// carrierSlack is the share of the fleet's retry slack dealt to the nodes that carry a service, otherSlack the
+	// share dealt to all others. The rest is a reserve for nodes that differ on who carries it.
 	carrierSlack = 0.45
 	otherSlack   = 0.2
-	// minCarriers is how many nodes the slack is dealt to at least: a node that sees few others may be
-	// one of many such.
+	// minCarriers is the least number of nodes that the slack is divided by: a node that sees few others may be one
+	// of many such nodes.
 	minCarriers = 6
-	// quorumShare is the share of the nodes of late that a node must hear to take itself for a carrier:
-	// no two parts of a fleet that is cut have it.
+	// quorumShare is the share of the recently live nodes that a node must be in contact with to count as a
+	// carrier. It is over one half, so no two parts of a network partition have it.
 	quorumShare = 0.6
-	// startupShare is the part of its share that a process has in its first window: all nodes may be
-	// killed and started again within one, and 0.65 and half of it are still less than the whole.
+	// startupShare is the factor on a process's share in its first window. All nodes may be killed and restarted
+	// within one window, and 0.65 and half of it are still less than the whole.
 	startupShare = 0.5
 )
 
-// A FleetView struct is what a node sees of those that share a service's slack of retries with it.
+// FleetView is what a node sees of the nodes that share a service's retry slack.
 type FleetView struct {
-	// Carries says that the node is one of so many Carriers of the service.
+	// Carries says that this node is one of the Carriers nodes that carry the service.
 	Carries  bool
 	Carriers int
-	// JustStarted nodes have run for less than the window: they may follow a process that has just used its
-	// part.
+	// JustStarted says that this process has run for less than the window: it may follow one that has just used its
+	// share.
 	JustStarted bool
-	// Live nodes are heard now, this one too; PeakLive is the most of them of late.
+	// Live is the number of nodes that this node is in contact with, itself included, PeakLive the recent maximum
+	// of it.
 	Live, PeakLive int
 }
 
-// HasQuorum says whether the node hears so many others that those that it does not hear have no carrier's part.
+// HasQuorum reports whether the node is in contact with so many others that the remaining ones have no carrier's
+// share.
 func (v FleetView) HasQuorum() bool {
 	return float64(v.Live) >= quorumShare*float64(v.PeakLive)
 }
 
-// SlackShare returns the node's part of the slack. The parts of all nodes are never more than the whole,
-// whoever hears whom, as long as they know how many they were, and not if all are started again once in
-// a window either.
+// SlackShare returns the node's share of the slack. The shares of all nodes never exceed the whole: not under any
+// network partition, as long as nodes know how many they were, and not if all are restarted once in a window.
 func SlackShare(v FleetView) float64 {
 	share := otherSlack / float64(max(v.PeakLive, v.Live, minCarriers))
 	if v.Carries && v.HasQuorum() {
--- a/pool/deal_test.go
+++ b/pool/deal_test.go
@@ -7,8 +7,8 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestSlackHoldsInAFleetThatIsCut cuts fleets into parts that hear only themselves, and has each part
-// choose carriers of its own. Together they never have more than the whole slack.
+// TestSlackHoldsInAFleetThatIsCut splits fleets by network partitions into parts that are in contact only with
+// themselves, and has each part choose carriers of its own. Together they never have more than the whole slack.
 func TestSlackHoldsInAFleetThatIsCut(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestSlackHoldsWhenAllStartAgain has all nodes of a fleet use their parts, be killed, and use them again
-// within one window.
+// TestSlackHoldsWhenAllStartAgain has all nodes of a fleet use their shares, be killed, and use them again within
+// one window.
 func TestSlackHoldsWhenAllStartAgain(t *testing.T) {
 	for _, nodes := range []int{1, 2, 6, 44, 200} {
 		sum := 0.0
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestMostOfTheSlackIsWithCarriers is about a fleet that is whole.
+// TestMostOfTheSlackIsWithCarriers checks a fleet that is not partitioned.
 func TestMostOfTheSlackIsWithCarriers(t *testing.T) {
 	carrier := pool.SlackShare(pool.FleetView{Carries: true, Carriers: 6, Live: 44, PeakLive: 44})
 	other := pool.SlackShare(pool.FleetView{Carriers: 6, Live: 44, PeakLive: 44})
