--- a/pool/event.go
+++ b/pool/event.go
@@ -6,18 +6,18 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// An EventKind names a change in what is believed of a target.
+// EventKind is a kind of change in a target's estimated health.
 type EventKind int
 
 // Kinds of events.
 const (
-	// TargetAvoided targets are thought to be failing.
+	// TargetAvoided means that the target is estimated to be failing.
 	TargetAvoided EventKind = iota
-	// TargetReturned targets are thought to be sound again.
+	// TargetReturned means that the target is estimated to be healthy again.
 	TargetReturned
-	// TargetLeft targets said themselves that they are leaving, or are no more at their address.
+	// TargetLeft means that the target announced that it is leaving, or is no longer at its address.
 	TargetLeft
-	// TargetUnreachable targets take no connection from this node.
+	// TargetUnreachable means that the target accepts no connection from this node.
 	TargetUnreachable
 )
 
@@ -26,13 +26,13 @@
 	return [...]string{"target_avoided", "target_returned", "target_left", "target_unreachable"}[k]
 }
 
-// An Event struct is one change in what is believed of a target.
+// Event is one change in a target's estimated health.
 type Event struct {
 	Kind   EventKind
 	Target ident.Target
-	// Failing is how likely the target is failing now.
+	// Failing is the probability that the target is failing now.
 	Failing float64
-	// By names the node whose word it was; it is empty for this node's own.
+	// By names the node that reported the change; it is empty if this node observed it.
 	By ident.Node
 }
 
@@ -48,7 +48,8 @@
 	}
 }
 
-// updateBelief changes what is believed of a target, and notes when that changes how it is used.
+// updateBelief applies change to the target's belief. If that makes the target avoided or usable again, it adds an
+// event and applies the floor.
 func (p *Pool) updateBelief(t *target, by ident.Node, now clock.Millis, change func(b *belief.Belief)) {
 	m := &p.tuning.Model
 	change(&t.belief)
