--- a/pool/floor.go
+++ b/pool/floor.go
@@ -7,7 +7,7 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// SetFloor says how many slots must stay in use, whatever is thought of their targets.
+// SetFloor sets how many slots must stay in use, whatever the estimated health of their targets.
 func (p *Pool) SetFloor(slots int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -15,8 +15,8 @@
 	p.applyFloor(p.clock.Now())
 }
 
-// applyFloor keeps avoided targets in use, those that are likeliest sound first, while those that are
-// not avoided have fewer slots than the floor.
+// applyFloor keeps avoided targets in use, those most likely to be healthy first, while the targets that are not
+// avoided have fewer slots than the floor.
 func (p *Pool) applyFloor(now clock.Millis) {
 	left := p.floor
 	var avoided []*target
--- a/pool/idle.go
+++ b/pool/idle.go
@@ -5,21 +5,22 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// An IdleTarget struct is a target of this node's part that had no work of late, and what keeps this node from it.
+// IdleTarget is a target assigned to this node that had no work recently, and what keeps this node from it.
 type IdleTarget struct {
 	Target ident.Target
-	// TrialRank is this node's place among those that owe it a trial.
+	// TrialRank is this node's rank among the nodes that are to try the target.
 	TrialRank int
-	// Failing is how likely it is that the target is failing.
+	// Failing is the probability that the target is failing.
 	Failing float64
-	// UsedAge and FailedAge are how long ago any node is known to have used it, and to have seen it fail; -1 if never.
+	// UsedAge and FailedAge are the times since any node is known to have used it, and to have seen it fail; -1 if
+	// never.
 	UsedAge, FailedAge clock.Millis
-	// Blocked says that this node could not reach it of late.
+	// Blocked says that this node recently could not reach it.
 	Blocked bool
 }
 
-// IdleTargets says whether the service is in deep trouble, and returns the targets of this node's part that had no work then
-// for as long as the duty to spread work allows.
+// IdleTargets reports whether the service is in deep trouble. If so, it returns the targets assigned to this node
+// that had no work for longer than Tuning.SpreadIdle.
 func (p *Pool) IdleTargets() (idle []IdleTarget, deep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pool/idle_test.go
+++ b/pool/idle_test.go
@@ -7,12 +7,12 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestIdleTargetsAreTold has one of two targets not reached, and no requests after that.
+// TestIdleTargetsAreTold has a node fail to reach one of two targets, and no requests after that.
 func TestIdleTargetsAreTold(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 3)
 	_, deep := n.IdleTargets()
-	is.True(!deep) // nothing was asked
+	is.True(!deep) // no requests yet
 	l := n.mustAcquire(t, n.request(false))
 	l.Done(pool.Unreachable, false)
 	for range 9 {
--- a/pool/status.go
+++ b/pool/status.go
@@ -2,16 +2,16 @@
 
 import "github.com/tinladder/tinladder/ident"
 
-// A Condition says how a target is used.
+// Condition says how a target is used.
 type Condition int
 
 // Conditions of targets.
 const (
 	// InUse targets take work.
 	InUse Condition = iota
-	// Avoided targets are thought to be failing, and take work when the others are full.
+	// Avoided targets are estimated to be failing, and take work when the others are full.
 	Avoided
-	// Blocked targets took no connection from this node just now.
+	// Blocked targets recently accepted no connection from this node.
 	Blocked
 	// Leaving targets take no new work.
 	Leaving
@@ -24,16 +24,16 @@
 	return [...]string{"in-use", "avoided", "unreachable", "leaving", "closed"}[c]
 }
 
-// A Status struct is how one target stands on this node.
+// Status is the state of one target on this node.
 type Status struct {
 	Target    ident.Target
 	Condition Condition
 	InFlight  int
-	// Failing is how likely it is that the target is failing.
+	// Failing is the probability that the target is failing.
 	Failing float64
 }
 
-// Status returns how each target stands.
+// Status returns the state of each target.
 func (p *Pool) Status() []Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
