--- a/pool/tally.go
+++ b/pool/tally.go
@@ -2,8 +2,8 @@
 
 import "github.com/tinladder/tinladder/clock"
 
-// A tally counts requests that ended, those that got no good answer but for trials, and those of them that did not
-// just run out of time.
+// tally counts requests that ended (asked), those without a good response except for trials (unserved), and those
+// of them that did not just time out (failed).
 type tally struct {
 	asked, unserved, failed int
 }
@@ -14,10 +14,10 @@
 	t.failed += o.failed
 }
 
-// windowParts is how finely a window moves on.
+// windowParts is the number of parts of a window, which expire one by one.
 const windowParts = 8
 
-// A window counts what ended lately.
+// window counts what ended within a sliding time span.
 type window struct {
 	part  clock.Millis
 	parts [windowParts]tally
@@ -57,30 +57,30 @@
 	return s
 }
 
-// An Result says how a request ended.
+// Result says how a request ended.
 type Result int
 
-// Ends of requests.
+// Results of requests.
 const (
-	// Served requests got a good answer, or lost their caller.
+	// Served means that the request got a good response, or that its caller left.
 	Served Result = iota
-	// TimedOut requests ran out of time at a target.
+	// TimedOut means that the request timed out at a target.
 	TimedOut
-	// TrialFailed requests failed at a target that was tried to spread work. They are no sign of trouble: if they were,
-	// trials would ask for more trials.
+	// TrialFailed means that the request failed at a target that was tried to spread work. It is no sign of
+	// trouble: otherwise trials would cause more trials.
 	TrialFailed
-	// Unserved requests failed otherwise, or were refused.
+	// Unserved means that the request failed otherwise, or was refused.
 	Unserved
 )
 
-// RecordResult tells how a request ended.
+// RecordResult counts a request that ended.
 func (p *Pool) RecordResult(e Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ended.count(p.clock.Now(), e)
 }
 
-// recentTotals counts the requests of late, over the nodes that are heard.
+// recentTotals sums the recent requests of this node and of the peers that reported recently.
 func (p *Pool) recentTotals(now clock.Millis) tally {
 	s := p.ended.sum(now)
 	for from, o := range p.peerTallies {
