--- a/pool/region_test.go
+++ b/pool/region_test.go
@@ -8,8 +8,8 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestTargetsOfTheRegionGoFirst has a hall's targets full: what goes elsewhere goes to the other hall of the region while
-// that has slots. All other halls cost the same before, and most of what left a hall left its region.
+// TestTargetsOfTheRegionGoFirst fills a hall's targets: further requests go to the other hall of the region while
+// that has slots. If all other halls cost the same, most of what leaves a hall leaves its region.
 func TestTargetsOfTheRegionGoFirst(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 0, 0)
--- a/pool/start_test.go
+++ b/pool/start_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// manyTargets returns so manyTargets near targets of three slots.
+// manyTargets returns count targets of this hall with three slots each.
 func manyTargets(count int) (list []pool.Target) {
 	for i := range count {
 		id := fmt.Sprint("t", i)
@@ -19,8 +19,8 @@
 	return list
 }
 
-// fewRequests sends requests one at a time, 50 a second, of which those to targets for which fails holds fail. It returns
-// how many failed and which targets were used.
+// fewRequests sends count requests one at a time, 50 a second; those to targets for which fails is true fail. It
+// returns how many failed and which targets were used.
 func fewRequests(t *testing.T, n *node, count int, fails func(ident.Target) bool) (failed int, used map[ident.Target]bool) {
 	t.Helper()
 	used = map[ident.Target]bool{}
@@ -40,16 +40,16 @@
 	return failed, used
 }
 
-// threeInTen has three in ten targets fail.
+// threeInTen selects three in ten targets.
 func threeInTen(id ident.Target) bool {
 	var i int
 	_, _ = fmt.Sscanf(string(id), "t%d", &i)
 	return i%10 < 3
 }
 
-// TestTargetsOfAStartAreNotAllTried has thousands of targets register in series before the first request, as when a whole
-// fleet starts. If each of them were owed a trial, few requests would find out one target after the other, and as many
-// would fail as targets do, for as long as there are targets left.
+// TestTargetsOfAStartAreNotAllTried has thousands of targets register before the first request, as when a whole
+// fleet starts. If each of them were due for a trial, few requests would try one unknown target after the other,
+// and as many would fail as targets do, for as long as there are targets left.
 func TestTargetsOfAStartAreNotAllTried(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -65,8 +65,8 @@
 	is.True(failed < 40) // the tenth from which on the platform holds the service to its floor
 }
 
-// TestJoinersAreTriedUnderSparseLoad has targets join a large service that has requests: each gets one soon, and no more
-// requests are spent on that than a part of them.
+// TestJoinersAreTriedUnderSparseLoad adds targets to a large service that has requests: each gets one soon, and
+// only a limited share of the requests is spent on that.
 func TestJoinersAreTriedUnderSparseLoad(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
--- a/pool/without.go
+++ b/pool/without.go
@@ -12,7 +12,7 @@
 // farFuture is a time that never comes.
 const farFuture = clock.Millis(math.MaxInt64 / 4)
 
-// mechanisms switches each mechanism of a pool off, by its name in settings.
+// mechanisms holds for each mechanism of a pool, by its name in settings, what switches it off.
 var mechanisms = map[string]func(t *Tuning){
 	"idle":         func(t *Tuning) { t.ExploreIdle = farFuture },
 	"joined":       func(t *Tuning) { t.JoinWait = farFuture },
@@ -33,12 +33,12 @@
 	"hedge":        func(t *Tuning) { t.Hedge = false },
 }
 
-// Mechanisms returns the names of what can be switched off.
+// Mechanisms returns the names of the mechanisms that can be switched off.
 func Mechanisms() []string {
 	return slices.Sorted(maps.Keys(mechanisms))
 }
 
-// Without returns the tuning with the mechanisms switched off, to measure what they are worth.
+// Without returns the tuning with the named mechanisms switched off, to measure their effect.
 func (t Tuning) Without(names ...string) (Tuning, error) {
 	for _, name := range names {
 		switchOff, found := mechanisms[name]
