--- a/belief/belief_test.go
+++ b/belief/belief_test.go
@@ -36,8 +36,8 @@
 	is.True(late.FailingProb(&m, 0) < failed.FailingProb(&m, 0))
 }
 
-// TestBeliefs takes in answers at any times. A belief stays a likelihood, a failure never makes it
-// less, a good answer never more, and time takes it towards the prior.
+// TestBeliefs records responses at random times. A belief stays a probability, a failure never lowers it, a good
+// response never raises it, and time moves it towards the prior.
 func TestBeliefs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := belief.DefaultModel
@@ -48,22 +48,22 @@
 			later := now + clock.Millis(rapid.IntRange(0, 5000).Draw(t, "ms"))
 			f := b.FailingProb(&m, later)
 			if (f-m.Prior())*(was-m.Prior()) < 0 || abs(f-m.Prior()) > abs(was-m.Prior())+1e-12 {
-				t.Fatalf("time took %v to %v, away from %v", was, f, m.Prior())
+				t.Fatalf("after the interval %v became %v, away from the prior %v", was, f, m.Prior())
 			}
 			now = later
 			switch rapid.IntRange(0, 2).Draw(t, "answer") {
 			case 0:
 				b.ObserveSuccess(&m, now)
-				check(t, b.FailingProb(&m, now) <= f+1e-12, "a good answer made it likelier")
+				check(t, b.FailingProb(&m, now) <= f+1e-12, "a good response raised the failing probability")
 			case 1:
 				b.ObserveFailure(&m, now)
-				check(t, b.FailingProb(&m, now) >= f-1e-12, "a failure made it less likely")
+				check(t, b.FailingProb(&m, now) >= f-1e-12, "a failure lowered the failing probability")
 			case 2:
 				b.ObserveLate(&m, now)
-				check(t, b.FailingProb(&m, now) >= f-1e-12, "a late answer made it less likely")
+				check(t, b.FailingProb(&m, now) >= f-1e-12, "a late response lowered the failing probability")
 			}
 			p := b.FailureProb(&m, now)
-			check(t, p >= m.HealthyFailRate-1e-12 && p <= m.FailingFailRate+1e-12, "it is no likelihood")
+			check(t, p >= m.HealthyFailRate-1e-12 && p <= m.FailingFailRate+1e-12, "the failure probability is outside the rates of the model")
 		}
 	})
 }
