--- a/warmup/model_test.go
+++ b/warmup/model_test.go
@@ -16,23 +16,25 @@
 	{PerSecond: 6, Overshoot: 1.5, Slack: 8}, {PerSecond: 2, Overshoot: 1.2, Slack: 5}, {PerSecond: 50, Overshoot: 1.5, Slack: 10},
 }
 
-// carrier is a node that might send to the target, with what it has heard of the others.
+// carrier is a node that might send to the target, with what it knows of the other nodes.
 type carrier struct {
 	name    ident.Node
 	pool    *pool.Pool
 	started clock.Millis
-	// heardAt is when it last heard each other one, and livenessTimeout how long it takes each for alive without hearing it.
+	// heardAt is when it last received a packet from each other node, livenessTimeout how long it takes each for
+	// live without one.
 	heardAt, livenessTimeout map[int]clock.Millis
 	known                    int
 }
 
-// model is a hall of carriers that all send to one cold target whatever they may.
+// model is a hall of carriers that all send to one target that is warming up, as much as they may.
 type model struct {
 	clock *clock.Manual
 	rand  *rand.Rand
 	limit warmup.Limit
 	nodes []*carrier
-	// partition is which partition of the fleet a node is in, and deaf which others it does not hear.
+	// partition is the part of the fleet that each node is in; dropped are the pairs of nodes of which the first
+	// gets no packets from the second.
 	partition []int
 	dropped   map[[2]int]bool
 	sent      []clock.Millis
@@ -63,7 +65,7 @@
 	return c
 }
 
-// updateView has a node take over what it hears.
+// updateView updates what a node sees of the others, and the rate at which it may send.
 func (m *model) updateView(i int) {
 	c := m.nodes[i]
 	now := m.clock.Now()
@@ -85,26 +87,26 @@
 	c.pool.SetTargets([]pool.Target{{ID: "t", Slots: 1000, SameHall: true, WarmupUntil: now + clock.Minute, WarmupRate: m.limit.Rate(v)}})
 }
 
-// injectFault cuts, mends and ends nodes.
+// injectFault partitions the network, drops packets in one direction, ends that, or restarts nodes.
 func (m *model) injectFault() {
 	switch m.rand.IntN(5) {
-	case 0: // the fleet is cut into parts
+	case 0: // partition the network
 		parts := 1 + m.rand.IntN(4)
 		for i := range m.partition {
 			m.partition[i] = m.rand.IntN(parts)
 		}
-	case 1: // packets go one way only
+	case 1: // packets pass in one direction only
 		for range len(m.partition) {
 			m.dropped[[2]int{m.rand.IntN(len(m.partition)), m.rand.IntN(len(m.partition))}] = true
 		}
 	case 2:
 		clear(m.dropped)
-	case 3: // a few start again
+	case 3: // restart a few nodes
 		for range 1 + m.rand.IntN(3) {
 			i := m.rand.IntN(len(m.nodes))
 			m.nodes[i] = m.start(i)
 		}
-	case 4: // all start again
+	case 4: // restart all nodes
 		if m.rand.IntN(10) == 0 {
 			for i := range m.nodes {
 				m.nodes[i] = m.start(i)
@@ -125,7 +127,7 @@
 	}
 }
 
-// maxPerSecond returns the maxPerSecond sends in any second.
+// maxPerSecond returns the most sends in any second.
 func (m *model) maxPerSecond() (most int) {
 	from := 0
 	for i, at := range m.sent {
@@ -137,9 +139,9 @@
 	return most
 }
 
-// TestColdTargetsAreNotOverrun has all nodes of a hall send what they may to one cold target, while the fleet is cut into
-// parts, packets go one way, and nodes start again: in any second it gets no more than its bound from all of them together.
-// It also says that the target gets work while nothing is wrong.
+// TestColdTargetsAreNotOverrun has all nodes of a hall send what they may to one target that is warming up, while
+// the network is partitioned, packets pass in one direction only, and nodes restart: in any second the target gets
+// no more than its limit from all of them together. It also checks that the target gets work.
 func TestColdTargetsAreNotOverrun(t *testing.T) {
 	for _, l := range limits {
 		for _, nodes := range []int{3, 8, 40} {
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -1,56 +1,59 @@
-// Package warmup bounds what a target gets that is cold: one that has started a short time ago, or says that it is as slow
-// as if it had. Many nodes may send to it, each by what it has heard, and what they send together is bounded in any second.
-// It does no I/O.
+// Package warmup limits the load of a target that is warming up: one that started a short time ago, or reports that
+// it is as slow as if it had. Many nodes may send to it, each by its own view of the fleet, and together they stay
+// below a limit in any second. It does no I/O.
 //
-// The load that it answers: a hall's targets come back together, and each of them takes a fraction of what it takes later.
-// Nodes that each send what they think right send many times that, the targets fall over, and what they had goes to the
-// other cold ones.
+// The load pattern: a hall's targets come back together, and each of them takes a fraction of its later load. Nodes
+// that each send what they think right send many times that, the targets are overloaded and fail, and their load
+// goes to the other targets that are warming up.
 package warmup
 
 import "github.com/tinladder/tinladder/pool"
 
-// A Limit struct is what a cold target may get from all nodes together in any second: PerSecond, which it withstands, times
-// Overshoot, and Slack.
+// Limit is what a target that is warming up may get from all nodes together in any second: PerSecond, which it
+// withstands, times Overshoot, plus Slack.
 type Limit struct {
 	PerSecond, Overshoot, Slack float64
 }
 
-// Bounded says whether there is a bound at all.
+// Bounded reports whether there is a limit at all.
 func (l Limit) Bounded() bool {
 	return l.PerSecond > 0
 }
 
-// Max returns how many requests a cold target may get in any second.
+// Max returns how many requests a target that is warming up may get in any second.
 func (l Limit) Max() float64 {
 	return l.PerSecond*l.Overshoot + l.Slack
 }
 
-// maxOwners is how many nodes may take themselves for the one that sends to a target at the same time, or one after the other
-// within a second, without the bound being passed.
+// maxOwners is how many nodes may consider themselves the owner of a target at the same time, or one after the
+// other within a second, without exceeding the limit.
 const maxOwners = 3
 
-// A View struct is what a node sees of those that might send to a target.
+// View is what a node knows of the nodes that might send to a target.
 type View struct {
-	// Owner says that the node is the first of those that it hears and that carry the target's service in its hall.
+	// Owner says that this node is the first of the nodes that it is in contact with and that carry the target's
+	// service in its hall.
 	Owner bool
-	// Live nodes are heard now, this one too; PeakLive is the most of them of late.
+	// Live is the number of nodes that this node is in contact with, itself included, PeakLive the recent maximum
+	// of it.
 	Live, PeakLive int
-	// Converged says that this process has had the time to hear of the others.
+	// Converged says that this process has run long enough to learn of the other nodes.
 	Converged bool
 }
 
-// quorumShare is the share of the nodes known of late that a node must hear to send to cold targets: no two parts of a fleet
-// that is cut have it.
+// quorumShare is the share of the recently live nodes that a node must be in contact with to send to targets that
+// are warming up. It is over one half, so no two parts of a network partition have it.
 const quorumShare = 0.6
 
-// MaySend says whether the node may send to cold targets that it is the first for.
+// MaySend reports whether the node may send to the targets that are warming up and that it owns.
 func (v View) MaySend() bool {
 	return v.Converged && float64(v.Live) >= quorumShare*float64(v.PeakLive)
 }
 
-// Rate returns how many requests a second the node may send to a cold target, beside one at any time; 0 if it may send none.
-// One node sends to each target, the first in an order of the target's own, at no more than it withstands. Views differ
-// while nodes come, go and are cut off, and what all that may take themselves for the first send is less than the bound.
+// Rate returns how many requests a second the node may send to a target that is warming up, on top of
+// pool.WarmupBurst; 0 if it may send none. Only a target's owner, the first node in the target's own order, sends
+// to it, at no more than it withstands. Views differ while nodes join, leave and are partitioned, and all that may
+// consider themselves the owner together send less than the limit.
 func (l Limit) Rate(v View) float64 {
 	if !v.Owner || !v.MaySend() {
 		return 0
