--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -12,9 +12,9 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestColdTargetsGetTheirRate requests far more than a target may get while it is warming up, then and once it no
+// TestWarmingUpTargetsGetTheirRate requests far more than a target may get while it is warming up, then and once it no
 // longer is.
-func TestColdTargetsGetTheirRate(t *testing.T) {
+func TestWarmingUpTargetsGetTheirRate(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n := newNode(c, "n1")
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestColdTargetsOfOtherNodesGetNothing has another node send to the only target: a request is refused at once, not
+// TestWarmingUpTargetsOfOtherNodesGetNothing has another node send to the only target: a request is refused at once, not
 // at its deadline.
-func TestColdTargetsOfOtherNodesGetNothing(t *testing.T) {
+func TestWarmingUpTargetsOfOtherNodesGetNothing(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n := newNode(c, "n1")
@@ -53,8 +53,8 @@
 	is.True(errors.Is(err, pool.ErrNoTarget))
 }
 
-// TestRequestsWaitForColdTargets has a request wait until the rate of its target allows one more.
-func TestRequestsWaitForColdTargets(t *testing.T) {
+// TestRequestsWaitForWarmingUpTargets has a request wait until the rate of its target allows one more.
+func TestRequestsWaitForWarmingUpTargets(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n := newNode(c, "n1")
--- a/pool/deal_test.go
+++ b/pool/deal_test.go
@@ -7,9 +7,9 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestSlackHoldsInAFleetThatIsCut splits fleets by network partitions into parts that are in contact only with
+// TestSlackHoldsUnderPartitions splits fleets by network partitions into parts that are in contact only with
 // themselves, and has each part choose carriers of its own. Together they never have more than the whole slack.
-func TestSlackHoldsInAFleetThatIsCut(t *testing.T) {
+func TestSlackHoldsUnderPartitions(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		nodes := 2 + r.IntN(200)
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestSlackHoldsWhenAllStartAgain has all nodes of a fleet use their shares, be killed, and use them again within
+// TestSlackHoldsWhenAllRestart has all nodes of a fleet use their shares, be killed, and use them again within
 // one window.
-func TestSlackHoldsWhenAllStartAgain(t *testing.T) {
+func TestSlackHoldsWhenAllRestart(t *testing.T) {
 	for _, nodes := range []int{1, 2, 6, 44, 200} {
 		sum := 0.0
 		for i := range nodes {
--- a/pool/idle_test.go
+++ b/pool/idle_test.go
@@ -7,8 +7,8 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// TestIdleTargetsAreTold has a node fail to reach one of two targets, and no requests after that.
-func TestIdleTargetsAreTold(t *testing.T) {
+// TestIdleTargets has a node fail to reach one of two targets, and no requests after that.
+func TestIdleTargets(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 3)
 	_, deep := n.IdleTargets()
--- a/pool/life_test.go
+++ b/pool/life_test.go
@@ -9,9 +9,9 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// TestNewLifeKnowsNothingOfTheOld has a target announce that it leaves, and restart under its id: it gets work,
+// TestRestartedTargetHasNoHistory has a target announce that it leaves, and restart under its id: it gets work,
 // even if another node that does not know of the restart still reports that it left.
-func TestNewLifeKnowsNothingOfTheOld(t *testing.T) {
+func TestRestartedTargetHasNoHistory(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n1, n2 := newNode(c, "n1"), newNode(c, "n2")
@@ -38,8 +38,8 @@
 	n1.ApplyReport(n2.name, old)
 	is.True(n1.TryAcquire(n1.request(false)) == nil) // by now such a report is of this generation
 	n2.SetTargets(again)
-	told := n2.Report(true)
-	for _, s := range told.GetSeen() {
+	report := n2.Report(true)
+	for _, s := range report.GetSeen() {
 		is.True(s.GetLife() != 0) // reports now name the generation
 	}
 	stale := &tlv1.Report{Seen: []*tlv1.Seen{{Target: "a", Leaving: true, Life: 7, OkMs: -1, FailedMs: -1}}}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -31,17 +31,17 @@
 func newNode(c *clock.Manual, name string) *node {
 	n := &node{clock: c, name: ident.Process{Node: ident.Node(name), Incarnation: 1}}
 	b := pool.NewRetryBudget(c, 0.2, 100, 10*clock.Second)
-	n.Pool = pool.New(pool.DefaultTuning, c, rand.New(rand.NewPCG(1, 2)), b, n.changed, n.tell)
+	n.Pool = pool.New(pool.DefaultTuning, c, rand.New(rand.NewPCG(1, 2)), b, n.onChange, n.onEvent)
 	return n
 }
 
-func (n *node) tell(e pool.Event) {
+func (n *node) onEvent(e pool.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.events = append(n.events, e)
 }
 
-func (n *node) changed(w pool.ChangeKind, _ ident.Hall) {
+func (n *node) onChange(w pool.ChangeKind, _ ident.Hall) {
 	n.mu.Lock()
 	n.changes = append(n.changes, w)
 	n.mu.Unlock()
@@ -86,7 +86,7 @@
 	return n
 }
 
-func TestFailureSendsWorkElsewhereAndIsNews(t *testing.T) {
+func TestFailureMovesWorkAndIsReported(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 3)
 	l := n.mustAcquire(t, n.request(false))
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestNewsOfAFailureReachesOthers has one node observe a failure, and another choose.
-func TestNewsOfAFailureReachesOthers(t *testing.T) {
+// TestFailureIsReportedToPeers has one node observe a failure, and another choose.
+func TestFailureIsReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n1, n2 := newNode(c, "n1"), newNode(c, "n2")
@@ -120,8 +120,8 @@
 	is.Equal(n2.events[0].By, ident.Node("n1"))
 }
 
-// TestNoConnectionBlamesTheLink checks that what one node cannot reach does not change the others' beliefs.
-func TestNoConnectionBlamesTheLink(t *testing.T) {
+// TestUnreachableIsNoEvidenceForPeers checks that what one node cannot reach does not change the others' beliefs.
+func TestUnreachableIsNoEvidenceForPeers(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n1, n2 := newNode(c, "n1"), newNode(c, "n2")
@@ -137,7 +137,7 @@
 	is.Equal(n1.Status()[0].Condition, pool.InUse)
 }
 
-func TestHealedTargetComesBack(t *testing.T) {
+func TestRecoveredTargetIsUsedAgain(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 3)
 	l := n.mustAcquire(t, n.request(true))
@@ -159,9 +159,9 @@
 	is.True(back < 3*clock.Second)
 }
 
-// TestWaitsForASoundTarget fills the only healthy target: a run-once request waits for it and does not go to one
+// TestWaitsForAHealthyTarget fills the only healthy target: a run-once request waits for it and does not go to one
 // that fails.
-func TestWaitsForASoundTarget(t *testing.T) {
+func TestWaitsForAHealthyTarget(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 2, 1)
 	l := n.mustAcquire(t, n.request(false))
@@ -181,9 +181,9 @@
 	is.True(l.Target != bad)
 }
 
-// TestWaitsWhileSoundTargetsHaveNoRoom fills the only healthy target and its own queue, while another target is
+// TestWaitsWhileHealthyTargetsAreFull fills the only healthy target and its own queue, while another target is
 // known to be failing. Requests wait for the healthy one, even after they have waited for long.
-func TestWaitsWhileSoundTargetsHaveNoRoom(t *testing.T) {
+func TestWaitsWhileHealthyTargetsAreFull(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		t.Run(fmt.Sprint(repeatable), func(t *testing.T) {
 			is := is.New(t)
@@ -326,8 +326,8 @@
 	is.Equal(n.mustAcquire(t, n.request(false)).Target, ident.Target("a"))
 }
 
-// TestLongRequestsAreToldAgain checks that a load that does not change is reported again before it expires.
-func TestLongRequestsAreToldAgain(t *testing.T) {
+// TestUnchangedLoadIsReportedAgain checks that a load that does not change is reported again before it expires.
+func TestUnchangedLoadIsReportedAgain(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n1, n2 := newNode(c, "n1"), newNode(c, "n2")
--- a/pool/reach_test.go
+++ b/pool/reach_test.go
@@ -16,10 +16,10 @@
 // of six healthy targets of a service were left out so for two seconds in which a fifth of its requests was not
 // served; eight of the nine targets without work were tried by the node that could not connect.
 
-// TestNextNodeTriesWhatTheFirstCannotReach has two nodes share ten targets in deep trouble. Three of them failed
+// TestNextNodeTriesUnreachableTargets has two nodes share ten targets in deep trouble. Three of them failed
 // long ago, and the node that tries them first cannot connect to them. All three must get work within half a second
 // of when they count as healthy: the next node tries them as soon as the first could not.
-func TestNextNodeTriesWhatTheFirstCannotReach(t *testing.T) {
+func TestNextNodeTriesUnreachableTargets(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	first, second := newNode(c, "n1"), newNode(c, "n2")
@@ -64,9 +64,9 @@
 // counted as new work, the nodes would take the target for used until then: seven of 168 targets had no request for
 // two seconds in which 16% were not served, and were taken for used 1.7 s before when it was 3.2 s.
 
-// TestHungRequestsAreNoWorkForLong has another node's request hang at a target, reported again and again as in
+// TestHungRequestsDoNotCountAsWork has another node's request hang at a target, reported again and again as in
 // flight there. In deep trouble this node must try the target within the two seconds of the platform's floor.
-func TestHungRequestsAreNoWorkForLong(t *testing.T) {
+func TestHungRequestsDoNotCountAsWork(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 10, 3)
 	peer, third := ident.Process{Node: "n2", Incarnation: 1}, ident.Process{Node: "n3", Incarnation: 1}
--- a/pool/spread.go
+++ b/pool/spread.go
@@ -54,18 +54,18 @@
 // belowCoverage reports whether too few of the targets assigned to this node had work recently. What other halls do
 // with their targets is known too late and only in part.
 func (p *Pool) belowCoverage(n coverage, now clock.Millis) bool {
-	worked, sound := 0.0, 0.0
+	worked, healthy := 0.0, 0.0
 	for _, t := range p.order {
 		if !t.Assigned || !p.usable(t, now) {
 			continue
 		}
 		w := p.coverageWeight(t, n, now)
-		sound += w
+		healthy += w
 		if now-p.workedAt(t, now) <= p.tuning.SpreadIdle {
 			worked += w
 		}
 	}
-	return worked < n.share*sound
+	return worked < n.share*healthy
 }
 
 // coverageWeight returns how much the target counts among those that may be healthy.
--- a/pool/start_test.go
+++ b/pool/start_test.go
@@ -47,10 +47,10 @@
 	return i%10 < 3
 }
 
-// TestTargetsOfAStartAreNotAllTried has thousands of targets register before the first request, as when a whole
+// TestStartupTargetsAreNotAllTried has thousands of targets register before the first request, as when a whole
 // fleet starts. If each of them were due for a trial, few requests would try one unknown target after the other,
 // and as many would fail as targets do, for as long as there are targets left.
-func TestTargetsOfAStartAreNotAllTried(t *testing.T) {
+func TestStartupTargetsAreNotAllTried(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n := newNode(c, "n")
@@ -65,9 +65,9 @@
 	is.True(failed < 40) // the tenth from which on the platform holds the service to its floor
 }
 
-// TestJoinersAreTriedUnderSparseLoad adds targets to a large service that has requests: each gets one soon, and
+// TestNewTargetsAreTriedUnderSparseLoad adds targets to a large service that has requests: each gets one soon, and
 // only a limited share of the requests is spent on that.
-func TestJoinersAreTriedUnderSparseLoad(t *testing.T) {
+func TestNewTargetsAreTriedUnderSparseLoad(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	n := newNode(c, "n")
--- a/pool/trouble_test.go
+++ b/pool/trouble_test.go
@@ -81,9 +81,9 @@
 // (17 of the last 29 failed trials could not connect), and 14 to 18 of 34 to 39 healthy targets of a service had no
 // work for two seconds in which 16% of its requests were not served. The floor asks for seven tenths.
 
-// TestTroubleDoesNotTryWhatOthersCannotReach has 12 of 20 targets accept no connection, as another node reports,
+// TestUnreachableTargetsAreTriedLast has 12 of 20 targets accept no connection, as another node reports,
 // and six that failed long ago. In deep trouble five of those six must get work with the next requests.
-func TestTroubleDoesNotTryWhatOthersCannotReach(t *testing.T) {
+func TestUnreachableTargetsAreTriedLast(t *testing.T) {
 	is := is.New(t)
 	n := newSingleNode(t, 20, 3)
 	var failed, unreachableSeen []*tlv1.Seen
--- a/pool/usual_test.go
+++ b/pool/usual_test.go
@@ -15,9 +15,9 @@
 // of them trials, the other 28 were too few, and deep trouble showed 1.4 s after a tenth was not served. By then
 // six of eleven healthy targets had no work for two seconds.
 
-// TestTimeLimitsBeyondTheUsualAreTrouble has 2 of 100 requests fail and some time out. If as many time out as
+// TestTimeoutsAboveTheBaselineAreTrouble has 2 of 100 requests fail and some time out. If as many time out as
 // before, that is no trouble; if more do, it is.
-func TestTimeLimitsBeyondTheUsualAreTrouble(t *testing.T) {
+func TestTimeoutsAboveTheBaselineAreTrouble(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		before, late, fail uint32
--- a/pool/way_test.go
+++ b/pool/way_test.go
@@ -44,10 +44,10 @@
 // s, these were estimated to be failing (0.5 to 0.8) and had no work for 2 to 7 s, and in 3.5 of 100 windows of two
 // seconds under seven tenths of the healthy targets had work.
 
-// TestTimeLimitsInCutWaysAreNotTheTargets has a request time out at a target, on a node that cannot connect to
+// TestTimeoutsOnBrokenPathsAreNoEvidence has a request time out at a target, on a node that cannot connect to
 // some. It is no evidence against the target if another node had a response there since, and this node could not
 // connect to it, or not to two others that respond to other nodes.
-func TestTimeLimitsInCutWaysAreNotTheTargets(t *testing.T) {
+func TestTimeoutsOnBrokenPathsAreNoEvidence(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// unreachable is where the node cannot connect after the request was sent, before and since where the other
@@ -93,9 +93,9 @@
 // used each time, and gives it no work (for 4.8 s, with two hung requests at each target and a trial every 1.5 to 6
 // s).
 
-// TestTrialBesideHungRequestsIsNoWork has a node's request hang at a target, and another one fail to connect there.
+// TestFailedTrialBesideHungRequestsIsNoWork has a node's request hang at a target, and another one fail to connect there.
 // The other node must try the target within the two seconds of the platform's floor.
-func TestTrialBesideHungRequestsIsNoWork(t *testing.T) {
+func TestFailedTrialBesideHungRequestsIsNoWork(t *testing.T) {
 	is := is.New(t)
 	c, first, second := newPair()
 	acquireAt(t, first, "a") // hangs
@@ -121,9 +121,9 @@
 // the same ones, which only the others can reach: 10 of 21 targets that count were without work, while 0.76 of
 // those that the other node took for healthy had some.
 
-// TestAnswerSinceEndsDoubt has another node report that it cannot reach three targets. They are tried last, unless
+// TestResponseSinceShowsThatTargetIsReachable has another node report that it cannot reach three targets. They are tried last, unless
 // this node has had responses there since.
-func TestAnswerSinceEndsDoubt(t *testing.T) {
+func TestResponseSinceShowsThatTargetIsReachable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		since bool
@@ -136,7 +136,7 @@
 			for _, id := range []string{"a", "b", "c"} {
 				unreachableSeen = append(unreachableSeen, &tlv1.Seen{Target: id, OkMs: -1, FailedMs: -1, Unreachable: true})
 			}
-			answers := func() {
+			respond := func() {
 				for _, x := range targets(10, 3) {
 					acquireAt(t, n, x.ID).Done(pool.Good, false)
 				}
@@ -145,13 +145,13 @@
 				}
 			}
 			if !c.since {
-				answers()
+				respond()
 				n.clock.Advance(50)
 			}
 			n.ApplyReport(peer, &tlv1.Report{Seen: unreachableSeen})
 			if c.since {
 				n.clock.Advance(50)
-				answers()
+				respond()
 			}
 			n.clock.Advance(1500)
 			n.ApplyReport(peer, &tlv1.Report{Seen: unreachableSeen, Asked: 500, Unserved: 80, Failed: 80})
--- a/warmup/model_test.go
+++ b/warmup/model_test.go
@@ -21,10 +21,10 @@
 	name    ident.Node
 	pool    *pool.Pool
 	started clock.Millis
-	// heardAt is when it last received a packet from each other node, livenessTimeout how long it takes each for
+	// lastContact is when it last received a packet from each other node, livenessTimeout how long it takes each for
 	// live without one.
-	heardAt, livenessTimeout map[int]clock.Millis
-	known                    int
+	lastContact, livenessTimeout map[int]clock.Millis
+	known                        int
 }
 
 // model is a hall of carriers that all send to one target that is warming up, as much as they may.
@@ -46,7 +46,7 @@
 		m.nodes = append(m.nodes, m.start(i))
 		m.nodes[i].started = 0
 		for j := range nodes {
-			m.nodes[i].heardAt[j] = m.clock.Now()
+			m.nodes[i].lastContact[j] = m.clock.Now()
 		}
 	}
 	return m
@@ -54,7 +54,7 @@
 
 func (m *model) start(i int) *carrier {
 	c := &carrier{
-		name: ident.Node(fmt.Sprint("n", i)), started: m.clock.Now(), heardAt: map[int]clock.Millis{}, livenessTimeout: map[int]clock.Millis{},
+		name: ident.Node(fmt.Sprint("n", i)), started: m.clock.Now(), lastContact: map[int]clock.Millis{}, livenessTimeout: map[int]clock.Millis{},
 		known: len(m.partition),
 	}
 	for j := range m.partition {
@@ -75,9 +75,9 @@
 			continue
 		}
 		if m.partition[i] == m.partition[j] && !m.dropped[[2]int{i, j}] {
-			c.heardAt[j] = now
+			c.lastContact[j] = now
 		}
-		if at, met := c.heardAt[j]; met && now-at < c.livenessTimeout[j] {
+		if at, met := c.lastContact[j]; met && now-at < c.livenessTimeout[j] {
 			candidates = append(candidates, assign.Candidate{Node: o.name, Weight: assign.FullWeight})
 		}
 	}
@@ -139,10 +139,10 @@
 	return most
 }
 
-// TestColdTargetsAreNotOverrun has all nodes of a hall send what they may to one target that is warming up, while
+// TestWarmupLimitHolds has all nodes of a hall send what they may to one target that is warming up, while
 // the network is partitioned, packets pass in one direction only, and nodes restart: in any second the target gets
 // no more than its limit from all of them together. It also checks that the target gets work.
-func TestColdTargetsAreNotOverrun(t *testing.T) {
+func TestWarmupLimitHolds(t *testing.T) {
 	for _, l := range limits {
 		for _, nodes := range []int{3, 8, 40} {
 			for seed := range uint64(12) {
