--- a/pool/pool.go
+++ b/pool/pool.go
@@ -45,7 +45,7 @@
 	Life uint64
 	// Leaving targets take no new work.
 	Leaving bool
-	// WarmAt is when the target is no longer slow from its start.
+	// WarmAt is when the target reaches its usual speed after its start.
 	WarmAt clock.Millis
 	// Until WarmupUntil the target's load from all nodes together is limited, and WarmupRate is this node's share
 	// in requests per second; 0 if it may send none.
@@ -245,7 +245,7 @@
 	ServiceTime                        clock.Millis
 }
 
-// Stats returns the pool's counts now.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -197,7 +197,7 @@
 			if bad.Target == other {
 				other = "b"
 			}
-			// Two run here, and two more wait there.
+			// Two requests run there, and two more wait in its own queue.
 			n.ApplyReport(ident.Process{Node: "n3", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(other), OkMs: 1, FailedMs: -1, InFlight: 4}}})
 			got := make(chan *pool.Lease)
 			go func() {
--- a/pool/status.go
+++ b/pool/status.go
@@ -15,7 +15,7 @@
 	Blocked
 	// Leaving targets take no new work.
 	Leaving
-	// Closed targets get nothing from this node: their hall is evacuated, or another node sends to them while they are cold.
+	// Closed targets get nothing from this node: their hall is evacuated, or another node sends to them while they warm up.
 	Closed
 )
 
--- a/pool/way_test.go
+++ b/pool/way_test.go
@@ -121,8 +121,8 @@
 // the same ones, which only the others can reach: 10 of 21 targets that count were without work, while 0.76 of
 // those that the other node took for healthy had some.
 
-// TestResponseSinceShowsThatTargetIsReachable has another node report that it cannot reach three targets. They are tried last, unless
-// this node has had responses there since.
+// TestResponseSinceShowsThatTargetIsReachable has another node report that it cannot reach three targets. They are
+// tried last, unless this node has had responses there since.
 func TestResponseSinceShowsThatTargetIsReachable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
