--- a/pool/queue.go
+++ b/pool/queue.go
@@ -127,7 +127,7 @@
 	return clock.Millis(float64(ahead+over) * p.serviceTime / max(slots, 1))
 }
 
-// insert queues the waiter behind those of its rank.
+// insert queues the waiter behind those of its priority.
 func (p *Pool) insert(w *waiter) {
 	for e := p.waiting.Back(); e != nil; e = e.Prev() {
 		if e.Value.(*waiter).request.Priority <= w.request.Priority {
--- a/pool/spread.go
+++ b/pool/spread.go
@@ -87,10 +87,10 @@
 	return now-p.workedAt(t, now) > p.tuning.SpreadIdle+t.trialDelay()
 }
 
-// workedAt returns when the target last had work. A request in flight counts from its start until it turns out that
-// it could not connect: longer, a node that is cut off from a target would keep the nodes ranked after it from the
-// target, trial by trial, or for as long as its requests hang there. Requests of a node that cannot connect there
-// now do not count either, since its trials come on top of those that hang.
+// workedAt returns when the target last had work. A request in flight counts as work from its start, and only until
+// it turns out that it could not connect. Otherwise a node that is cut off from a target would keep the nodes
+// ranked after it from trying the target, trial by trial, or for as long as its requests hang there. Requests of a
+// node that cannot connect there now do not count either, since its trials come on top of those that hang.
 func (p *Pool) workedAt(t *target, now clock.Millis) clock.Millis {
 	at := t.usedAt
 	if t.localInFlight > 0 {
