--- a/pool/slack.go
+++ b/pool/slack.go
@@ -3,13 +3,13 @@
 const (
 	// RatioShare is the share of the fleet's retry ratio that each node applies to its own requests.
 	RatioShare = 0.93
-	// carrierSlack is the share of the fleet's retry slack dealt to the nodes that carry a service, otherSlack the
+	// sharerSlack is the share of the fleet's retry slack dealt to the nodes that carry a service, otherSlack the
 	// share dealt to all others. The rest is a reserve for nodes that differ on who carries it.
-	carrierSlack = 0.45
-	otherSlack   = 0.2
-	// minCarriers is the least number of nodes that the slack is divided by: a node that sees few others may be one
+	sharerSlack = 0.45
+	otherSlack  = 0.2
+	// minSharers is the least number of nodes that the slack is divided by: a node that sees few others may be one
 	// of many such nodes.
-	minCarriers = 6
+	minSharers = 6
 	// quorumShare is the share of the recently live nodes that a node must be in contact with to count as a
 	// carrier. It is over one half, so no two parts of a network partition have it.
 	quorumShare = 0.6
@@ -20,9 +20,9 @@
 
 // FleetView is what a node sees of the nodes that share a service's retry slack.
 type FleetView struct {
-	// Carries says that this node is one of the Carriers nodes that carry the service.
-	Carries  bool
-	Carriers int
+	// IsSharer says that this node is one of the Carriers nodes that carry the service.
+	IsSharer    bool
+	SharerCount int
 	// JustStarted says that this process has run for less than the window: it may follow one that has just used its
 	// share.
 	JustStarted bool
@@ -40,9 +40,9 @@
 // SlackShare returns the node's share of the slack. The shares of all nodes never exceed the whole: not under any
 // network partition, as long as nodes know how many they were, and not if all are restarted once in a window.
 func SlackShare(v FleetView) float64 {
-	share := otherSlack / float64(max(v.PeakLive, v.Live, minCarriers))
-	if v.Carries && v.HasQuorum() {
-		share = carrierSlack / float64(max(v.Carriers, minCarriers))
+	share := otherSlack / float64(max(v.PeakLive, v.Live, minSharers))
+	if v.IsSharer && v.HasQuorum() {
+		share = sharerSlack / float64(max(v.SharerCount, minSharers))
 	}
 	if v.JustStarted {
 		share *= startupShare
--- a/pool/slack_test.go
+++ b/pool/slack_test.go
@@ -21,7 +21,7 @@
 		for _, live := range parts {
 			carriers := min(live, 1+r.IntN(12))
 			for i := range live {
-				sum += pool.SlackShare(pool.FleetView{Carries: i < carriers, Carriers: carriers, Live: live, PeakLive: nodes})
+				sum += pool.SlackShare(pool.FleetView{IsSharer: i < carriers, SharerCount: carriers, Live: live, PeakLive: nodes})
 			}
 		}
 		if sum > 1 {
@@ -36,7 +36,7 @@
 	for _, nodes := range []int{1, 2, 6, 44, 200} {
 		sum := 0.0
 		for i := range nodes {
-			v := pool.FleetView{Carries: i < 6, Carriers: min(nodes, 6), Live: nodes, PeakLive: nodes}
+			v := pool.FleetView{IsSharer: i < 6, SharerCount: min(nodes, 6), Live: nodes, PeakLive: nodes}
 			sum += pool.SlackShare(v)
 			v.JustStarted = true
 			sum += pool.SlackShare(v)
@@ -49,8 +49,8 @@
 
 // TestMostOfTheSlackIsWithCarriers checks a fleet that is not partitioned.
 func TestMostOfTheSlackIsWithCarriers(t *testing.T) {
-	carrier := pool.SlackShare(pool.FleetView{Carries: true, Carriers: 6, Live: 44, PeakLive: 44})
-	other := pool.SlackShare(pool.FleetView{Carriers: 6, Live: 44, PeakLive: 44})
+	carrier := pool.SlackShare(pool.FleetView{IsSharer: true, SharerCount: 6, Live: 44, PeakLive: 44})
+	other := pool.SlackShare(pool.FleetView{SharerCount: 6, Live: 44, PeakLive: 44})
 	if carrier < 10*other {
 		t.Errorf("a carrier has %.4f, another node %.4f", carrier, other)
 	}
--- a/proof/doubts_test.go
+++ b/proof/doubts_test.go
@@ -35,10 +35,10 @@
 					}
 					if len(sharing) < carriers && doubts[[2]int{i, j}] <= now {
 						sharing = append(sharing, ident.Node(fmt.Sprint(j)))
-						v.Carries = v.Carries || i == j
+						v.IsSharer = v.IsSharer || i == j
 					}
 				}
-				v.Carriers, v.Carries = sharers[i].See(sharing, v.Carries, now == 10_000-assign.SettleFor, now)
+				v.SharerCount, v.IsSharer = sharers[i].See(sharing, v.IsSharer, now == 10_000-assign.SettleFor, now)
 				most[i] = max(most[i], pool.SlackShare(v))
 			}
 		}
