--- a/pool/slack.go
+++ b/pool/slack.go
@@ -11,7 +11,7 @@
 	// of many such nodes.
 	minSharers = 6
 	// quorumShare is the share of the recently live nodes that a node must be in contact with to count as a
-	// carrier. It is over one half, so no two parts of a network partition have it.
+	// sharer. It is over one half, so no two parts of a network partition have it.
 	quorumShare = 0.6
 	// startupShare is the factor on a process's share in its first window. All nodes may be killed and restarted
 	// within one window, and 0.65 and half of it are still less than the whole.
@@ -20,7 +20,7 @@
 
 // FleetView is what a node sees of the nodes that share a service's retry slack.
 type FleetView struct {
-	// IsSharer says that this node is one of the Carriers nodes that carry the service.
+	// IsSharer says that this node is one of the SharerCount nodes that carry the service, which have most of its slack.
 	IsSharer    bool
 	SharerCount int
 	// JustStarted says that this process has run for less than the window: it may follow one that has just used its
@@ -31,7 +31,7 @@
 	Live, PeakLive int
 }
 
-// HasQuorum reports whether the node is in contact with so many others that the remaining ones have no carrier's
+// HasQuorum reports whether the node is in contact with so many others that the remaining ones have no sharer's
 // share.
 func (v FleetView) HasQuorum() bool {
 	return float64(v.Live) >= quorumShare*float64(v.PeakLive)
