--- a/access/access_test.go
+++ b/access/access_test.go
@@ -10,12 +10,12 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-var sound = access.Trust{Proved: true, Age: 100, Lapse: 4900, Settled: 2500}
+var fresh = access.Freshness{Known: true, Age: 100, MaxAge: 4900, NegativeMaxAge: 2500}
 
 func directory(t testing.TB) *access.Directory {
 	d := access.NewDirectory()
 	for _, name := range []ident.Workspace{"shops", "couriers"} {
-		if err := d.Add(access.Workspace{Name: name, Rank: 1}, []access.Digest{access.DigestOf("key-of-" + string(name))}); err != nil {
+		if err := d.Add(access.Workspace{Name: name, Priority: 1}, []access.Digest{access.DigestOf("key-of-" + string(name))}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -27,36 +27,36 @@
 	cases := []struct {
 		name   string
 		values []string
-		trust  access.Trust
+		trust  access.Freshness
 		want   access.Verdict
 		space  ident.Workspace
 	}{
-		{"known", []string{"Bearer key-of-shops"}, sound, access.Allowed, "shops"},
-		{"another one", []string{"Bearer key-of-couriers"}, sound, access.Allowed, "couriers"},
-		{"case of the scheme", []string{"bEARER key-of-shops"}, sound, access.Allowed, "shops"},
-		{"more blanks", []string{"Bearer   key-of-shops "}, sound, access.Allowed, "shops"},
-		{"none", nil, sound, access.NoKey, ""},
-		{"empty", []string{""}, sound, access.NoKey, ""},
-		{"no key", []string{"Bearer "}, sound, access.NoKey, ""},
-		{"scheme alone", []string{"Bearer"}, sound, access.NoKey, ""},
-		{"no blank", []string{"Bearerkey-of-shops"}, sound, access.NoKey, ""},
-		{"key alone", []string{"key-of-shops"}, sound, access.NoKey, ""},
-		{"another scheme", []string{"Basic key-of-shops"}, sound, access.NoKey, ""},
-		{"two values", []string{"Bearer key-of-shops", "Bearer key-of-shops"}, sound, access.NoKey, ""},
-		{"two in one value", []string{"Bearer key-of-shops, Bearer key-of-shops"}, sound, access.NoKey, ""},
-		{"blank inside", []string{"Bearer key-of shops"}, sound, access.NoKey, ""},
-		{"tab", []string{"Bearer\tkey-of-shops"}, sound, access.NoKey, ""},
-		{"not plain text", []string{"Bearer key-of-shöps"}, sound, access.NoKey, ""},
-		{"too long", []string{"Bearer " + long}, sound, access.NoKey, ""},
-		{"case of the key", []string{"Bearer Key-of-shops"}, sound, access.UnknownKey, ""},
-		{"unknown", []string{"Bearer x"}, sound, access.UnknownKey, ""},
-		{"trust has lapsed", []string{"Bearer key-of-shops"}, access.Trust{Proved: true, Age: 4900, Lapse: 4900}, access.Unproven, ""},
-		{"just before", []string{"Bearer key-of-shops"}, access.Trust{Proved: true, Age: 4899, Lapse: 4900}, access.Allowed, "shops"},
-		{"nothing proved", []string{"Bearer key-of-shops"}, access.Trust{Lapse: 4900}, access.Unproven, ""},
-		{"taken as known", []string{"Bearer key-of-shops"}, access.Trust{}, access.Allowed, "shops"},
-		{"unknown by old word", []string{"Bearer x"}, access.Trust{Proved: true, Age: 2600, Lapse: 4900, Settled: 2500}, access.Unproven, ""},
-		{"unknown to a node that is behind", []string{"Bearer x"}, access.Trust{Behind: true}, access.Unproven, ""},
-		{"known to a node that is behind", []string{"Bearer key-of-shops"}, access.Trust{Behind: true}, access.Allowed, "shops"},
+		{"known", []string{"Bearer key-of-shops"}, fresh, access.Allowed, "shops"},
+		{"another one", []string{"Bearer key-of-couriers"}, fresh, access.Allowed, "couriers"},
+		{"case of the scheme", []string{"bEARER key-of-shops"}, fresh, access.Allowed, "shops"},
+		{"more blanks", []string{"Bearer   key-of-shops "}, fresh, access.Allowed, "shops"},
+		{"none", nil, fresh, access.NoKey, ""},
+		{"empty", []string{""}, fresh, access.NoKey, ""},
+		{"no key", []string{"Bearer "}, fresh, access.NoKey, ""},
+		{"scheme alone", []string{"Bearer"}, fresh, access.NoKey, ""},
+		{"no blank", []string{"Bearerkey-of-shops"}, fresh, access.NoKey, ""},
+		{"key alone", []string{"key-of-shops"}, fresh, access.NoKey, ""},
+		{"another scheme", []string{"Basic key-of-shops"}, fresh, access.NoKey, ""},
+		{"two values", []string{"Bearer key-of-shops", "Bearer key-of-shops"}, fresh, access.NoKey, ""},
+		{"two in one value", []string{"Bearer key-of-shops, Bearer key-of-shops"}, fresh, access.NoKey, ""},
+		{"blank inside", []string{"Bearer key-of shops"}, fresh, access.NoKey, ""},
+		{"tab", []string{"Bearer\tkey-of-shops"}, fresh, access.NoKey, ""},
+		{"not plain text", []string{"Bearer key-of-shöps"}, fresh, access.NoKey, ""},
+		{"too long", []string{"Bearer " + long}, fresh, access.NoKey, ""},
+		{"case of the key", []string{"Bearer Key-of-shops"}, fresh, access.UnknownKey, ""},
+		{"unknown", []string{"Bearer x"}, fresh, access.UnknownKey, ""},
+		{"trust has lapsed", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4900, MaxAge: 4900}, access.Unverified, ""},
+		{"just before", []string{"Bearer key-of-shops"}, access.Freshness{Known: true, Age: 4899, MaxAge: 4900}, access.Allowed, "shops"},
+		{"nothing proved", []string{"Bearer key-of-shops"}, access.Freshness{MaxAge: 4900}, access.Unverified, ""},
+		{"taken as known", []string{"Bearer key-of-shops"}, access.Freshness{}, access.Allowed, "shops"},
+		{"unknown by old word", []string{"Bearer x"}, access.Freshness{Known: true, Age: 2600, MaxAge: 4900, NegativeMaxAge: 2500}, access.Unverified, ""},
+		{"unknown to a node that is behind", []string{"Bearer x"}, access.Freshness{Stale: true}, access.Unverified, ""},
+		{"known to a node that is behind", []string{"Bearer key-of-shops"}, access.Freshness{Stale: true}, access.Allowed, "shops"},
 	}
 	d := directory(t)
 	for _, c := range cases {
@@ -80,21 +80,21 @@
 	shared := access.DigestOf("shared")
 	is.NoErr(d.Add(access.Workspace{Name: "a"}, []access.Digest{shared}))
 	is.True(d.Add(access.Workspace{Name: "b"}, []access.Digest{shared, access.DigestOf("of-b")}) != nil)
-	_, v := d.Decide([]string{"Bearer shared"}, sound)
+	_, v := d.Decide([]string{"Bearer shared"}, fresh)
 	is.Equal(v, access.UnknownKey)
 	is.True(d.Add(access.Workspace{Name: "c"}, []access.Digest{shared}) != nil) // a third one does not get it either
-	_, v = d.Decide([]string{"Bearer shared"}, sound)
+	_, v = d.Decide([]string{"Bearer shared"}, fresh)
 	is.Equal(v, access.UnknownKey)
-	w, _ := d.Decide([]string{"Bearer of-b"}, sound)
+	w, _ := d.Decide([]string{"Bearer of-b"}, fresh)
 	is.Equal(w.Name, ident.Workspace("b"))
 	is.True(d.Add(access.Workspace{Name: "shops"}, []access.Digest{access.DigestOf("second")}) != nil)
-	_, v = d.Decide([]string{"Bearer second"}, sound)
+	_, v = d.Decide([]string{"Bearer second"}, fresh)
 	is.Equal(v, access.UnknownKey)
 	is.True(d.Add(access.Workspace{Name: "odd", Fault: "its limit is text"}, []access.Digest{access.DigestOf("odd")}) != nil)
-	_, v = d.Decide([]string{"Bearer odd"}, sound)
+	_, v = d.Decide([]string{"Bearer odd"}, fresh)
 	is.Equal(v, access.Unusable)
 	is.True(d.Add(access.Workspace{Name: "line\nbreak"}, []access.Digest{access.DigestOf("line")}) != nil)
-	_, v = d.Decide([]string{"Bearer line"}, sound)
+	_, v = d.Decide([]string{"Bearer line"}, fresh)
 	is.Equal(v, access.UnknownKey)
 }
 
@@ -105,32 +105,32 @@
 	_, proved := told.Age(0)
 	is.True(!proved)
 	// The store's clock is 7,000 behind. The asker's question goes out at 10,000 and is answered at 10,004.
-	asker.Answered(10_000, 10_004, 3_002, true)
+	asker.ObserveStore(10_000, 10_004, 3_002, true)
 	age, proved := asker.Age(10_004)
 	is.True(proved && age == 4)
 	is.Equal(asker.Proved(), clock.Millis(3_002))
-	told.Heard(asker.Proved(), 10_010)
+	told.Merge(asker.Proved(), 10_010)
 	_, proved = told.Age(10_010)
 	is.True(!proved) // it cannot tell how old that is
 	// It asks the other node, whose answer shows how late the store's clock may be.
-	told.Told(10_020, asker.Latest(10_022))
-	told.Heard(asker.Proved(), 10_030)
+	told.ObserveLatest(10_020, asker.Latest(10_022))
+	told.Merge(asker.Proved(), 10_030)
 	age, proved = told.Age(10_030)
 	is.True(proved && age >= 28 && age <= 32)
 	// The word lies in a buffer for six seconds while the node stands still: it is as old as it is.
-	told.Heard(asker.Proved(), 16_030)
+	told.Merge(asker.Proved(), 16_030)
 	age, proved = told.Age(16_030)
 	is.True(proved && age >= 6_028)
 	// An answer that shows a newer state that cannot be read proves nothing.
-	asker.Answered(16_000, 16_004, 9_002, false)
+	asker.ObserveStore(16_000, 16_004, 9_002, false)
 	age, _ = asker.Age(16_004)
 	is.True(age >= 6_000)
 	// A word from a time to come is none.
-	told.Heard(20_000, 16_030)
+	told.Merge(20_000, 16_030)
 	age, _ = told.Age(16_030)
 	is.True(age >= 6_028)
 	// The store's clock goes back: what was proved before says nothing.
-	asker.Answered(17_000, 17_004, 100, false)
+	asker.ObserveStore(17_000, 17_004, 100, false)
 	_, proved = asker.Age(17_004)
 	is.True(!proved)
 }
@@ -160,6 +160,6 @@
 	values := []string{"Bearer uakn2ftimaj3nr26tta8"}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.Decide(values, sound)
+		d.Decide(values, fresh)
 	}
 }
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -11,25 +11,25 @@
 
 // Limits bounds what a ledger keeps.
 type Limits struct {
-	// SliceFor is how long one slice's prefix is handed out.
-	SliceFor clock.Millis
-	// KeepFor is how much longer keys of the slice are taken, and their outcomes kept.
-	KeepFor clock.Millis
+	// SliceDuration is how long one slice's prefix is handed out.
+	SliceDuration clock.Millis
+	// Retention is how much longer keys of the slice are taken, and their outcomes kept.
+	Retention clock.Millis
 	// Keys is the most keys kept, of all workspaces.
 	Keys int
 	// Bytes is the most bytes of answers kept, of all workspaces.
 	Bytes int
-	// AnswerBytes is the most bytes of one answer that are kept.
-	AnswerBytes int
+	// ResponseBytes is the most bytes of one answer that are kept.
+	ResponseBytes int
 }
 
 // DefaultLimits keeps outcomes for ten minutes within about 24 MB.
 var DefaultLimits = Limits{
-	SliceFor:    1 * clock.Minute,
-	KeepFor:     10 * clock.Minute,
-	Keys:        60_000,
-	Bytes:       8 << 20,
-	AnswerBytes: 4 << 10,
+	SliceDuration: 1 * clock.Minute,
+	Retention:     10 * clock.Minute,
+	Keys:          60_000,
+	Bytes:         8 << 20,
+	ResponseBytes: 4 << 10,
 }
 
 type state int
@@ -38,17 +38,17 @@
 	running state = iota
 	answered
 	voided
-	unsure
+	unknown
 )
 
 type entry struct {
 	state       state
 	fingerprint uint64
-	answer      *Answer
+	response    *Response
 }
 
-// name is a key within its slice.
-type name struct {
+// entryKey is a key within its slice.
+type entryKey struct {
 	workspace ident.Workspace
 	suffix    string
 }
@@ -56,7 +56,7 @@
 type slice struct {
 	id      string
 	opened  clock.Millis
-	entries map[name]*entry
+	entries map[entryKey]*entry
 	// closed workspaces get no further keys of the slice run.
 	closed map[ident.Workspace]bool
 	bytes  int
@@ -70,24 +70,24 @@
 	clock  clock.Clock
 	rand   *rand.Rand
 
-	mu     sync.Mutex
-	slices []*slice
-	count  uint64
-	keys   int
-	bytes  int
-	used   map[ident.Workspace]int
+	mu              sync.Mutex
+	slices          []*slice
+	sliceCount      uint64
+	keys            int
+	bytes           int
+	keysByWorkspace map[ident.Workspace]int
 }
 
 // NewLedger returns an empty ledger. The random numbers keep callers from guessing slices.
 func NewLedger(self ident.Process, l Limits, c clock.Clock, r *rand.Rand) *Ledger {
-	return &Ledger{self: self, limits: l, clock: c, rand: r, used: map[ident.Workspace]int{}}
+	return &Ledger{self: self, limits: l, clock: c, rand: r, keysByWorkspace: map[ident.Workspace]int{}}
 }
 
 // Prefix returns the prefix to hand out now.
 func (l *Ledger) Prefix() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Prefix(l.self, l.current().id)
+	return Prefix(l.self, l.currentSlice().id)
 }
 
 // Keys returns how many keys are kept.
@@ -97,18 +97,18 @@
 	return l.keys
 }
 
-// current drops slices that have ended, and returns the one whose prefix is handed out.
-func (l *Ledger) current() *slice {
+// currentSlice drops slices that have ended, and returns the one whose prefix is handed out.
+func (l *Ledger) currentSlice() *slice {
 	now := l.clock.Now()
 	l.expire(now)
-	if n := len(l.slices); n > 0 && now-l.slices[n-1].opened < l.limits.SliceFor {
+	if n := len(l.slices); n > 0 && now-l.slices[n-1].opened < l.limits.SliceDuration {
 		return l.slices[n-1]
 	}
-	l.count++
+	l.sliceCount++
 	s := &slice{
-		id:      fmt.Sprintf("%d-%x", l.count, l.rand.Uint64()),
+		id:      fmt.Sprintf("%d-%x", l.sliceCount, l.rand.Uint64()),
 		opened:  now,
-		entries: map[name]*entry{},
+		entries: map[entryKey]*entry{},
 		closed:  map[ident.Workspace]bool{},
 	}
 	l.slices = append(l.slices, s)
@@ -116,25 +116,25 @@
 }
 
 func (l *Ledger) expire(now clock.Millis) {
-	for len(l.slices) > 0 && now-l.slices[0].opened >= l.limits.SliceFor+l.limits.KeepFor {
-		l.drop(l.slices[0])
+	for len(l.slices) > 0 && now-l.slices[0].opened >= l.limits.SliceDuration+l.limits.Retention {
+		l.dropSlice(l.slices[0])
 		l.slices = l.slices[1:]
 	}
 }
 
-func (l *Ledger) drop(s *slice) {
+func (l *Ledger) dropSlice(s *slice) {
 	for n := range s.entries {
 		l.keys--
-		l.used[n.workspace]--
-		if l.used[n.workspace] == 0 {
-			delete(l.used, n.workspace)
+		l.keysByWorkspace[n.workspace]--
+		if l.keysByWorkspace[n.workspace] == 0 {
+			delete(l.keysByWorkspace, n.workspace)
 		}
 	}
 	l.bytes -= s.bytes
 	s.entries = nil
 }
 
-func (l *Ledger) find(id string) *slice {
+func (l *Ledger) findSlice(id string) *slice {
 	for _, s := range l.slices {
 		if s.id == id {
 			return s
@@ -147,34 +147,34 @@
 // requests apart that come under one key.
 func (l *Ledger) Begin(w ident.Workspace, k Key, fingerprint uint64) Decision {
 	if k.Home != l.self {
-		return Elsewhere{Home: k.Home}
+		return Forward{Home: k.Home}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(l.clock.Now())
-	s := l.find(k.Slice)
+	s := l.findSlice(k.Slice)
 	if s == nil {
 		return Unknown{Reason: "the key's time slice has ended"}
 	}
-	n := name{workspace: w, suffix: k.Suffix}
+	n := entryKey{workspace: w, suffix: k.Suffix}
 	if e, found := s.entries[n]; found {
 		return e.decide(fingerprint)
 	}
-	if s.closed[w] || !l.room(w) {
+	if s.closed[w] || !l.hasRoom(w) {
 		s.closed[w] = true
 		return NotRun{Reason: "too many keys; ask for a new prefix"}
 	}
 	e := &entry{fingerprint: fingerprint}
 	s.entries[n] = e
 	l.keys++
-	l.used[w]++
+	l.keysByWorkspace[w]++
 	return Run{Ticket: &Ticket{ledger: l, slice: s, entry: e}}
 }
 
-// room says whether the workspace may have one more key: no more than what is still free. One
+// hasRoom says whether the workspace may have one more key: no more than what is still free. One
 // workspace alone gets half; later ones always find some.
-func (l *Ledger) room(w ident.Workspace) bool {
-	return l.used[w] < l.limits.Keys-l.keys
+func (l *Ledger) hasRoom(w ident.Workspace) bool {
+	return l.keysByWorkspace[w] < l.limits.Keys-l.keys
 }
 
 func (e *entry) decide(fingerprint uint64) Decision {
@@ -183,7 +183,7 @@
 	}
 	switch e.state {
 	case answered:
-		return Replay{Answer: e.answer}
+		return Replay{Response: e.response}
 	case voided:
 		return NotRun{Reason: "given up before it ran"}
 	case running:
@@ -199,8 +199,8 @@
 	entry  *entry
 }
 
-// Answered records what the target answered.
-func (t *Ticket) Answered(a *Answer) {
+// Complete records what the target answered.
+func (t *Ticket) Complete(a *Response) {
 	t.end(answered, t.ledger.trim(a))
 }
 
@@ -210,12 +210,12 @@
 	t.end(voided, nil)
 }
 
-// Unsure records that nobody knows whether the request ran.
-func (t *Ticket) Unsure() {
-	t.end(unsure, nil)
+// Unknown records that nobody knows whether the request ran.
+func (t *Ticket) Unknown() {
+	t.end(unknown, nil)
 }
 
-func (t *Ticket) end(s state, a *Answer) {
+func (t *Ticket) end(s state, a *Response) {
 	l := t.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,9 +224,9 @@
 	}
 	t.entry.state = s
 	if a.size() > l.limits.Bytes-l.bytes {
-		a = &Answer{Status: a.Status}
+		a = &Response{Status: a.Status}
 	}
-	t.entry.answer = a
+	t.entry.response = a
 	if t.slice.entries != nil {
 		t.slice.bytes += a.size()
 		l.bytes += a.size()
@@ -234,9 +234,9 @@
 }
 
 // trim leaves the body out of answers that are too large to keep.
-func (l *Ledger) trim(a *Answer) *Answer {
-	if !a.Whole || a.size() > l.limits.AnswerBytes {
-		return &Answer{Status: a.Status}
+func (l *Ledger) trim(a *Response) *Response {
+	if !a.Complete || a.size() > l.limits.ResponseBytes {
+		return &Response{Status: a.Status}
 	}
 	return a
 }
