--- a/clock/suspend.go
+++ b/clock/suspend.go
@@ -7,47 +7,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// wallSlack is how far the time of day may move against the steady clock until it is looked whether the machine was
-// suspended. Adjusting it takes minutes for as much.
-const wallSlack Millis = 20
+// wallTolerance is how far wall time may move against the monotonic clock before the kernel is asked whether the
+// machine was suspended. Adjusting the clock by as much takes minutes.
+const wallTolerance Millis = 20
 
-// A reading is what the machine's clocks show: the steady one, which stands still while the machine is suspended, and the
-// time of day, which does not, in milliseconds since any moments of their own.
+// A reading is what the machine's clocks show, each from its own origin: the monotonic one, which stops while the
+// machine is suspended, and the wall clock, which does not.
 type reading struct {
-	steady, wall Millis
+	mono, wall Millis
 }
 
-// A system clock starts at the wall clock's time and follows the monotonic clock, which goes on while the process is
-// stopped, and what the machine was suspended besides: trust, leases and budgets that rest on elapsed time would all be
-// taken as fresh at waking. Asking the kernel for both costs a system call; the time of day comes with the steady clock for
-// nothing and jumps with a suspension, so the kernel is asked only when that has moved.
+// A system clock starts at the wall clock's time and follows the monotonic clock, which runs on while the process
+// is stopped, plus the time for which the machine was suspended: otherwise all trust, leases and budgets that rest
+// on elapsed time would seem fresh on resume. Asking the kernel costs a system call. Wall time comes with the
+// monotonic time at no extra cost and jumps on a suspension, so the kernel is asked only when it moved.
 type system struct {
 	read func() reading
-	// boot is the steady clock with all suspensions; it fails if the machine cannot tell.
-	boot func() (boot, steady Millis, err error)
+	// boot returns the clock that includes suspensions along with the monotonic one; it fails if the machine has
+	// none.
+	boot func() (boot, mono Millis, err error)
 
 	start reading
-	// ahead is by how much boot was ahead of the steady clock at the start.
-	ahead Millis
-	// apart is by how much the time of day was ahead of the steady clock when last looked, and slept how long the machine
-	// was suspended since the start.
-	apart, slept atomic.Int64
+	// bootOffset is by how much boot time was ahead of monotonic time at the start.
+	bootOffset Millis
+	// wallOffset is by how much wall time was ahead of monotonic time when last checked, and suspended for how
+	// long the machine was suspended since the start.
+	wallOffset, suspended atomic.Int64
 }
 
 // NewSystem returns the machine's clock.
 func NewSystem() Clock {
-	began := time.Now()
+	start := time.Now()
 	return newSystem(func() reading {
 		now := time.Now()
-		return reading{steady: FromDuration(now.Sub(began)), wall: Millis(now.UnixMilli())}
+		return reading{mono: FromDuration(now.Sub(start)), wall: Millis(now.UnixMilli())}
 	}, bootTime)
 }
 
-func newSystem(read func() reading, boot func() (boot, steady Millis, err error)) *system {
+func newSystem(read func() reading, boot func() (boot, mono Millis, err error)) *system {
 	c := &system{read: read, boot: boot, start: read()}
-	c.apart.Store(int64(c.start.wall - c.start.steady))
-	if b, steady, err := boot(); err == nil {
-		c.ahead = b - steady
+	c.wallOffset.Store(int64(c.start.wall - c.start.mono))
+	if b, mono, err := boot(); err == nil {
+		c.bootOffset = b - mono
 	}
 	return c
 }
@@ -55,30 +56,30 @@
 // Now implements Clock.
 func (c *system) Now() Millis {
 	now := c.read()
-	apart := now.wall - now.steady
-	if moved := apart - Millis(c.apart.Load()); max(moved, -moved) > wallSlack {
-		c.look(apart)
+	wallOffset := now.wall - now.mono
+	if moved := wallOffset - Millis(c.wallOffset.Load()); max(moved, -moved) > wallTolerance {
+		c.checkSuspend(wallOffset)
 	}
-	return c.start.wall + now.steady - c.start.steady + Millis(c.slept.Load())
+	return c.start.wall + now.mono - c.start.mono + Millis(c.suspended.Load())
 }
 
-// look asks the kernel how long the machine was suspended. Several may at once, and find the same; what was found is
-// never taken back.
-func (c *system) look(apart Millis) {
-	if b, steady, err := c.boot(); err == nil {
-		for slept := int64(b - steady - c.ahead); ; {
-			was := c.slept.Load()
-			if slept <= was || c.slept.CompareAndSwap(was, slept) {
+// checkSuspend asks the kernel how long the machine was suspended. Concurrent calls are safe: the result never
+// decreases.
+func (c *system) checkSuspend(wallOffset Millis) {
+	if b, mono, err := c.boot(); err == nil {
+		for suspended := int64(b - mono - c.bootOffset); ; {
+			prev := c.suspended.Load()
+			if suspended <= prev || c.suspended.CompareAndSwap(prev, suspended) {
 				break
 			}
 		}
 	}
-	c.apart.Store(int64(apart))
+	c.wallOffset.Store(int64(wallOffset))
 }
 
-// bootTime reads both of the kernel's steady clocks, the one that counts suspensions last: between them nothing is
-// missed that the next look would not find.
-func bootTime() (boot, steady Millis, err error) {
+// bootTime reads both kernel clocks, the one that counts suspensions last: a suspension between the two reads is
+// not missed.
+func bootTime() (boot, mono Millis, err error) {
 	var s, b unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &s); err != nil {
 		return 0, 0, err
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -11,24 +11,24 @@
 var plan = leave.Plan{Grace: 6000}
 
 func TestNext(t *testing.T) {
-	none, peers, resting := leave.Open{}, leave.Open{All: 2}, leave.Open{Callers: 1, All: 3}
+	none, peers, idle := leave.Conns{}, leave.Conns{All: 2}, leave.Conns{Callers: 1, All: 3}
 	for _, c := range []struct {
 		name    string
 		elapsed clock.Millis
-		open    leave.Open
+		open    leave.Conns
 		want    leave.Step
 	}{
-		{"callers may come", 0, none, leave.Serve},
-		{"until others know", 2699, none, leave.Serve},
-		{"nobody is there", 2700, none, leave.End},
-		{"a caller rests, with grace left", 2700, resting, leave.Shut},
-		{"it still rests", 5039, resting, leave.Shut},
-		{"it may not any more", 5040, resting, leave.HangUp},
-		{"only other nodes rest", 2700, peers, leave.HangUp},
-		{"something is at work", 5400, resting, leave.Answer},
-		{"something of another node is", 5400, peers, leave.Answer},
-		{"nothing is, late", 5400, none, leave.End},
-		{"it is time", 5520, resting, leave.End},
+		{"accepting callers", 0, none, leave.Serve},
+		{"just before accepting ends", 2699, none, leave.Serve},
+		{"no connections", 2700, none, leave.End},
+		{"idle caller, grace left", 2700, idle, leave.StopAccepting},
+		{"idle caller, just before the idle limit", 5039, idle, leave.StopAccepting},
+		{"idle caller, at the idle limit", 5040, idle, leave.CloseWhenIdle},
+		{"only peers connected", 2700, peers, leave.CloseWhenIdle},
+		{"request in progress", 5400, idle, leave.RespondPending},
+		{"peer request in progress", 5400, peers, leave.RespondPending},
+		{"no connections, late", 5400, none, leave.End},
+		{"end of the plan", 5520, idle, leave.End},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -37,37 +37,37 @@
 	}
 }
 
-func TestTakes(t *testing.T) {
+func TestAccepts(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		elapsed, limit clock.Millis
 		want           bool
 	}{
 		{"early, long", 100, 12_000, true},
-		{"before half, long", 2800, 12_000, true},
-		{"after it, long", 2900, 3000, false},
-		{"after it, short", 2900, 800, true},
-		{"late, just in time", 4550, 800, true},
-		{"late, just not", 4551, 800, false},
-		{"at the end, without a bound", 5800, 0, false},
+		{"before the share, long", 2800, 12_000, true},
+		{"after the share, long", 2900, 3000, false},
+		{"after the share, short", 2900, 800, true},
+		{"late, just short enough", 4550, 800, true},
+		{"late, just too long", 4551, 800, false},
+		{"at the end, no limit", 5800, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(plan.Takes(c.elapsed, c.limit), c.want)
+			is.Equal(plan.Accepts(c.elapsed, c.limit), c.want)
 		})
 	}
 }
 
-// TestNothingTakenOutlastsTheEnd: whatever is taken after half of the grace period is over before what is still at work is
-// answered, for any grace period and limit.
-func TestNothingTakenOutlastsTheEnd(t *testing.T) {
+// TestAcceptedRequestsEndInTime checks that each request accepted after half of the grace period ends before the
+// node responds to pending requests, for any grace period and limit.
+func TestAcceptedRequestsEndInTime(t *testing.T) {
 	is := is.New(t)
 	for _, grace := range []clock.Millis{500, 2000, 4000, 6000, 30_000} {
 		p := leave.Plan{Grace: grace}
 		for elapsed := grace / 2; elapsed <= grace; elapsed += grace / 200 {
 			for limit := clock.Millis(0); limit < grace; limit += grace / 100 {
-				if p.Takes(elapsed, limit) {
-					is.True(p.Next(elapsed+limit, leave.Open{Callers: 1, All: 1}) < leave.Answer)
+				if p.Accepts(elapsed, limit) {
+					is.True(p.Next(elapsed+limit, leave.Conns{Callers: 1, All: 1}) < leave.RespondPending)
 				}
 			}
 		}
--- a/member/index.go
+++ b/member/index.go
@@ -7,109 +7,111 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// An index follows the entries as they change: news comes many times a second, and a large fleet has a thousand of them.
+// An index holds views of the entries that are updated incrementally: updates arrive many times a second, and a
+// large fleet has a thousand entries.
 type index struct {
-	// live are the names of the live nodes, in order, and members what is known of each.
+	// live holds the names of the live nodes in order, and members their records.
 	live    []string
 	members []*tlv1.Member
-	// shared says that members was handed out, and is copied before it changes.
+	// shared is set once members was handed out: it is then copied before the next change.
 	shared bool
-	// homes are the live nodes by where they hear gossip.
-	homes map[string]home
-	// strangers are the addresses of seeds and of gone nodes that no live node has; nil if not worked out since a change.
-	strangers []string
+	// owners maps gossip addresses to the live nodes that use them.
+	owners map[string]owner
+	// unclaimed holds the addresses of seeds and gone nodes that no live node uses. It is nil until computed after
+	// a change.
+	unclaimed []string
 }
 
-// A home is who hears gossip at an address.
-type home struct {
+// An owner is the live node that uses a gossip address.
+type owner struct {
 	node, hall string
 }
 
-// update takes in what is known of a node now, in place of what was; nil stands for nothing.
-func (x *index) update(node string, was, is *tlv1.Member) {
+// update replaces the old record of a node by cur; nil stands for no record.
+func (x *index) update(node string, old, cur *tlv1.Member) {
 	if x.shared {
 		x.members, x.shared = slices.Clone(x.members), false
 	}
 	i, found := slices.BinarySearch(x.live, node)
-	lives := is != nil && live(is)
+	nowLive := cur != nil && live(cur)
 	switch {
-	case lives && found:
-		x.members[i] = is
-	case lives:
-		x.live, x.members = slices.Insert(x.live, i, node), slices.Insert(x.members, i, is)
+	case nowLive && found:
+		x.members[i] = cur
+	case nowLive:
+		x.live, x.members = slices.Insert(x.live, i, node), slices.Insert(x.members, i, cur)
 	case found:
 		x.live, x.members = slices.Delete(x.live, i, i+1), slices.Delete(x.members, i, i+1)
 	}
-	x.move(node, was, is, lives)
+	x.updateOwner(node, old, cur, nowLive)
 }
 
-// move follows where the node hears gossip.
-func (x *index) move(node string, was, is *tlv1.Member, lives bool) {
-	if x.homes == nil {
-		x.homes = map[string]home{}
+// updateOwner records the gossip address that the node uses.
+func (x *index) updateOwner(node string, old, cur *tlv1.Member, nowLive bool) {
+	if x.owners == nil {
+		x.owners = map[string]owner{}
 	}
-	if lives && was != nil && live(was) && was.GetGossipAddress() == is.GetGossipAddress() && was.GetHall() == is.GetHall() {
+	if nowLive && old != nil && live(old) && old.GetGossipAddress() == cur.GetGossipAddress() && old.GetHall() == cur.GetHall() {
 		return
 	}
-	x.strangers = nil
-	if was != nil && x.homes[was.GetGossipAddress()].node == node {
-		delete(x.homes, was.GetGossipAddress())
+	x.unclaimed = nil
+	if old != nil && x.owners[old.GetGossipAddress()].node == node {
+		delete(x.owners, old.GetGossipAddress())
 	}
-	if lives {
-		x.homes[is.GetGossipAddress()] = home{node: node, hall: is.GetHall()}
+	if nowLive {
+		x.owners[cur.GetGossipAddress()] = owner{node: node, hall: cur.GetHall()}
 	}
 }
 
-// strangers returns the addresses of seeds and of gone nodes that no live node has.
-func (t *Table) strangers() []string {
+// unclaimedAddresses returns the addresses of seeds and gone nodes that no live node uses.
+func (t *Table) unclaimedAddresses() []string {
 	x := &t.index
-	if x.strangers != nil {
-		return x.strangers
+	if x.unclaimed != nil {
+		return x.unclaimed
 	}
 	list := slices.Clone(t.seeds)
-	for _, name := range slices.Sorted(maps.Keys(t.unwell)) {
+	for _, name := range slices.Sorted(maps.Keys(t.notAlive)) {
 		if m := t.entries[name].member; !live(m) {
 			list = append(list, m.GetGossipAddress())
 		}
 	}
 	slices.Sort(list)
-	x.strangers = slices.DeleteFunc(slices.Compact(list), func(a string) bool {
-		_, known := x.homes[a]
+	x.unclaimed = slices.DeleteFunc(slices.Compact(list), func(a string) bool {
+		_, known := x.owners[a]
 		return known || a == t.self.GetGossipAddress()
 	})
-	if x.strangers == nil {
-		x.strangers = []string{}
+	if x.unclaimed == nil {
+		x.unclaimed = []string{}
 	}
-	return x.strangers
+	return x.unclaimed
 }
 
-// someLive returns up to n live nodes by chance.
-func (t *Table) someLive(n int, not string) []string {
+// randomLive returns up to n random live nodes other than exclude.
+func (t *Table) randomLive(n int, exclude string) []string {
 	names := t.index.live
 	n = min(n, len(names))
-	if len(names) > sparseSample*n {
-		return t.sample(names, n, not)
+	if len(names) > minSampleRatio*n {
+		return t.sample(names, n, exclude)
 	}
 	var chosen []string
 	for _, i := range t.rand.Perm(len(names)) {
 		if len(chosen) == n {
 			break
 		}
-		if names[i] != not {
+		if names[i] != exclude {
 			chosen = append(chosen, names[i])
 		}
 	}
 	return chosen
 }
 
-// sparseSample is how many times as many names there must be for a sample to be drawn one by one.
-const sparseSample = 4
+// minSampleRatio is the least ratio of names to the sample size at which names are drawn one by one.
+const minSampleRatio = 4
 
-// sample draws n of many more names.
-func (t *Table) sample(names []string, n int, not string) (chosen []string) {
+// sample draws n distinct names, where n is much smaller than the number of names.
+func (t *Table) sample(names []string, n int, exclude string) (chosen []string) {
 	for len(chosen) < n {
 		name := names[t.rand.IntN(len(names))]
-		if name != not && !slices.Contains(chosen, name) {
+		if name != exclude && !slices.Contains(chosen, name) {
 			chosen = append(chosen, name)
 		}
 	}
