--- a/config/writer_test.go
+++ b/config/writer_test.go
@@ -18,39 +18,39 @@
 	"pgregory.net/rapid"
 )
 
-// A memory is a table on a stand-in, reached by the platform's protocol.
-type memory struct {
+// A testTable accesses an emulated store by the platform's protocol.
+type testTable struct {
 	store.Table
 	door *standin.Door
 }
 
-func (m *memory) SetFaults(f standin.Faults) {
+func (m *testTable) SetFaults(f standin.Faults) {
 	m.door.SetFaults(f)
 }
 
-// cleaner is what tests and property checks have in common.
+// cleaner is implemented by *testing.T and *rapid.T.
 type cleaner interface{ Cleanup(f func()) }
 
-func newMemory(t cleaner) *memory {
+func newTestTable(t cleaner) *testTable {
 	door := standin.NewDoor(standin.New(clock.NewManual(1000), clock.Minute))
 	s := httptest.NewServer(door)
 	t.Cleanup(s.Close)
-	return &memory{Table: platform.NewTable(platform.NewClient(s.Listener.Addr().String())), door: door}
+	return &testTable{Table: platform.NewTable(platform.NewClient(s.Listener.Addr().String())), door: door}
 }
 
-// service returns a document that expects the version and says something of its own.
+// service returns a document that expects the given version. Different queue lengths make documents distinct.
 func service(name string, expected, queue int) *tlv1.Document {
 	s := &tlv1.Service{Workspace: "w", Name: name, Queue: uint32(queue)}
 	return &tlv1.Document{Key: "svc/w/" + name, Version: uint64(expected), Body: &tlv1.Document_Service{Service: s}}
 }
 
-// racing lets another operator in between a read and a commit.
-type racing struct {
+// commitHook calls before ahead of the first commit, such as for a change by another operator.
+type commitHook struct {
 	store.Table
 	before func()
 }
 
-func (t *racing) Commit(ctx context.Context, writes ...store.Write) error {
+func (t *commitHook) Commit(ctx context.Context, writes ...store.Write) error {
 	if f := t.before; f != nil {
 		t.before = nil
 		f()
@@ -58,14 +58,14 @@
 	return t.Table.Commit(ctx, writes...)
 }
 
-// late holds a commit back, answers that it is lost, and lets it arrive afterwards.
-type late struct {
+// delayedTable holds a commit back and returns an error, so that the test can deliver the commit later.
+type delayedTable struct {
 	store.Table
 	held []store.Write
 	hold bool
 }
 
-func (t *late) Commit(ctx context.Context, writes ...store.Write) error {
+func (t *delayedTable) Commit(ctx context.Context, writes ...store.Write) error {
 	if t.hold {
 		t.hold, t.held = false, writes
 		return store.ErrUnavailable
@@ -73,13 +73,13 @@
 	return t.Table.Commit(ctx, writes...)
 }
 
-func TestRacingOperatorIsToldBothVersions(t *testing.T) {
+func TestStaleErrorNamesBothVersions(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
-	table := &racing{Table: m, before: func() {
-		_, err := other.Apply(ctx, config.Request{ID: "b", Who: "b", Document: service("s", 0, 2)})
+	table := &commitHook{Table: m, before: func() {
+		_, err := other.Apply(ctx, config.Request{ID: "b", Author: "b", Document: service("s", 0, 2)})
 		is.NoErr(err)
 	}}
 	_, err := config.NewWriter(table, clock.NewManual(1)).Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
@@ -88,12 +88,12 @@
 	is.Equal(*stale, config.StaleError{Key: "svc/w/s", Expected: 0, Current: 1})
 }
 
-func TestRaceForTheLogAloneIsTriedAgain(t *testing.T) {
+func TestConflictOnLogHeadIsRetried(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	other := config.NewWriter(m, clock.NewManual(1))
-	table := &racing{Table: m, before: func() {
+	table := &commitHook{Table: m, before: func() {
 		_, err := other.Apply(ctx, config.Request{ID: "b", Document: service("other", 0, 2)})
 		is.NoErr(err)
 	}}
@@ -105,7 +105,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	m.SetFaults(standin.Faults{LoseAnswers: 1})
 	w := config.NewWriter(m, clock.NewManual(1))
 	c, err := w.Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
@@ -122,24 +122,24 @@
 func TestVoidedChangeCannotArriveLate(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
-	table := &late{Table: m, hold: true}
+	m := newTestTable(t)
+	table := &delayedTable{Table: m, hold: true}
 	w := config.NewWriter(table, clock.NewManual(1))
 	_, err := w.Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
 	is.True(errors.Is(err, config.ErrVoided))
 	var conflict *store.Conflict
-	is.True(errors.As(m.Commit(ctx, table.held...), &conflict)) // the write comes, and is refused
+	is.True(errors.As(m.Commit(ctx, table.held...), &conflict)) // the delayed commit conflicts
 }
 
-func TestAwayTableLeavesTheChangeUndecidedUntilResolved(t *testing.T) {
+func TestUnavailableStoreLeavesOutcomeUnknownUntilResolved(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
-	table := &late{Table: m, hold: true}
+	m := newTestTable(t)
+	table := &delayedTable{Table: m, hold: true}
 	w := config.NewWriter(table, clock.NewManual(1))
-	away := &racing{Table: table, before: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
+	away := &commitHook{Table: table, before: func() { m.SetFaults(standin.Faults{Away: standin.Reset}) }}
 	_, err := config.NewWriter(away, clock.NewManual(1)).Apply(ctx, config.Request{ID: "a", Document: service("s", 0, 1)})
-	is.True(errors.Is(err, config.ErrUndecided))
+	is.True(errors.Is(err, config.ErrOutcomeUnknown))
 	m.SetFaults(standin.Faults{})
 	is.NoErr(m.Commit(ctx, table.held...))
 	c, err := w.Resolve(ctx, "a")
@@ -150,10 +150,10 @@
 func TestHistoryIsTheAuditTrail(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory(t)
+	m := newTestTable(t)
 	w := config.NewWriter(m, clock.NewManual(77))
 	for i := range 5 {
-		_, err := w.Apply(ctx, config.Request{ID: fmt.Sprint("c", i), Who: fmt.Sprint("op", i), Document: service("s", i, i)})
+		_, err := w.Apply(ctx, config.Request{ID: fmt.Sprint("c", i), Author: fmt.Sprint("op", i), Document: service("s", i, i)})
 		is.NoErr(err)
 	}
 	changes, err := config.NewLog(m).History(ctx, "svc/w/s", 2)
@@ -164,31 +164,31 @@
 	is.Equal(changes[1].GetAtMs(), int64(77))
 }
 
-// TestOperatorsRacing lets operators change two services through a table that goes away, loses
-// answers and delivers commits late. The oracle is the log itself: every change told as made is
-// in it once, none told as not made ever is, and each replaces the version it expected.
+// TestOperatorsRacing has operators change two services through a table that becomes unreachable, loses
+// responses and delays commits. The oracle is the log: each change reported as applied is in it once, no
+// change reported as voided is, and each change replaced the version that it expected.
 func TestOperatorsRacing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
-		m := newMemory(t)
-		table := &late{Table: m}
+		m := newTestTable(t)
+		table := &delayedTable{Table: m}
 		w := config.NewWriter(table, clock.NewManual(1))
 		log := config.NewLog(m)
-		told := map[string]bool{}
-		void := map[string]bool{}
-		open := map[string]bool{}
+		applied := map[string]bool{}
+		voided := map[string]bool{}
+		undecided := map[string]bool{}
 		known := map[string]int{}
 		n := 0
 		settle := func(id string, c *tlv1.Change, err error) {
-			delete(open, id)
+			delete(undecided, id)
 			switch {
 			case err == nil:
-				told[id] = true
+				applied[id] = true
 				known[c.GetDocument().GetKey()] = int(c.GetSeq())
 			case errors.Is(err, config.ErrVoided):
-				void[id] = true
-			case errors.Is(err, config.ErrUndecided), errors.Is(err, store.ErrUnavailable):
-				open[id] = true
+				voided[id] = true
+			case errors.Is(err, config.ErrOutcomeUnknown), errors.Is(err, store.ErrUnavailable):
+				undecided[id] = true
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -205,7 +205,7 @@
 					t.Skip()
 				}
 				id := fmt.Sprint("c", rapid.IntRange(1, n).Draw(t, "change"))
-				if !open[id] {
+				if !undecided[id] {
 					t.Skip()
 				}
 				c, err := w.Resolve(ctx, id)
@@ -231,7 +231,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				checkLog(t, changes, told, void)
+				checkLog(t, changes, applied, voided)
 				for _, c := range changes {
 					known[c.GetDocument().GetKey()] = int(c.GetSeq())
 				}
@@ -240,7 +240,7 @@
 	})
 }
 
-func checkLog(t *rapid.T, changes []*tlv1.Change, told, void map[string]bool) {
+func checkLog(t *rapid.T, changes []*tlv1.Change, applied, voided map[string]bool) {
 	count := map[string]int{}
 	latest := map[string]uint64{}
 	for i, c := range changes {
@@ -254,12 +254,12 @@
 		latest[key] = c.GetSeq()
 		count[c.GetId()]++
 	}
-	for id := range told {
+	for id := range applied {
 		if count[id] != 1 {
 			t.Fatalf("change %s was told as made and is in the log %d times", id, count[id])
 		}
 	}
-	for id := range void {
+	for id := range voided {
 		if count[id] != 0 {
 			t.Fatalf("change %s was told as not made and is in the log", id)
 		}
--- a/logs/budget.go
+++ b/logs/budget.go
@@ -6,25 +6,25 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A Budget bounds the lines of one kind: so many a second are written, the others are counted and told of in one line. What
-// a node hears of grows with the fleet, and its log must not. It is safe for concurrent use.
-type Budget struct {
+// A Limiter limits the log lines of one kind per second, and counts the others, for one line that reports them. The number of
+// events that a node sees grows with the fleet, and its log must not. It is safe for concurrent use.
+type Limiter struct {
 	clock     clock.Clock
 	perSecond int
 
-	mu      sync.Mutex
-	second  clock.Millis
-	used    int
-	skipped int
+	mu         sync.Mutex
+	second     clock.Millis
+	used       int
+	suppressed int
 }
 
-// NewBudget returns a budget of so many lines a second.
-func NewBudget(c clock.Clock, perSecond int) *Budget {
-	return &Budget{clock: c, perSecond: perSecond}
+// NewLimiter returns a limiter that allows perSecond lines a second.
+func NewLimiter(c clock.Clock, perSecond int) *Limiter {
+	return &Limiter{clock: c, perSecond: perSecond}
 }
 
-// Take says whether a line may be written now, and counts it otherwise.
-func (b *Budget) Take() bool {
+// Allow reports whether a line may be written now, and counts it as suppressed otherwise.
+func (b *Limiter) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.clock.Now() / clock.Second; s != b.second {
@@ -34,17 +34,18 @@
 		b.used++
 		return true
 	}
-	b.skipped++
+	b.suppressed++
 	return false
 }
 
-// Skipped returns how many lines were not written since it was last called, once the second in which they came is over.
-func (b *Budget) Skipped() (count int) {
+// TakeSuppressed returns the number of suppressed lines and resets it. It returns 0 until the second in which Allow was last
+// called is over.
+func (b *Limiter) TakeSuppressed() (count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.clock.Now()/clock.Second == b.second {
 		return 0
 	}
-	count, b.skipped = b.skipped, 0
+	count, b.suppressed = b.suppressed, 0
 	return count
 }
--- a/logs/budget_test.go
+++ b/logs/budget_test.go
@@ -8,22 +8,22 @@
 	"github.com/tinladder/tinladder/logs"
 )
 
-// TestLinesAreBounded has 10,000 records come in one second, as to a node of a large fleet that starts: it wrote a line for
-// each of them.
+// TestLinesAreBounded requests 10,000 lines in one second. A node that starts in a large fleet receives that many records,
+// and used to log each of them.
 func TestLinesAreBounded(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(5000)
-	b := logs.NewBudget(c, 16)
+	b := logs.NewLimiter(c, 16)
 	written := 0
 	for range 10_000 {
-		if b.Take() {
+		if b.Allow() {
 			written++
 		}
 	}
 	is.Equal(written, 16)
-	is.Equal(b.Skipped(), 0) // the second is not over
+	is.Equal(b.TakeSuppressed(), 0) // the second is not over
 	c.Advance(clock.Second)
-	is.Equal(b.Skipped(), 10_000-16)
-	is.Equal(b.Skipped(), 0)
-	is.True(b.Take())
+	is.Equal(b.TakeSuppressed(), 10_000-16)
+	is.Equal(b.TakeSuppressed(), 0)
+	is.True(b.Allow())
 }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -15,31 +15,31 @@
 	"github.com/tinladder/tinladder/logs"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
-	free chan struct{}
-	mu   sync.Mutex
-	buf  bytes.Buffer
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-func (s *stuck) text() string {
+func (s *blockedWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.String()
 }
 
-// TestReaderThatStopsHoldsNothingUp logs far more than is kept while nobody reads, and then lets the
-// reader go on. Failures are there though ordinary lines came first, and the rest is counted.
+// TestReaderThatStopsHoldsNothingUp logs far more than the buffer holds while the writer blocks, and then releases
+// it. The failures must be written though ordinary lines came first, and the dropped lines must be counted.
 func TestReaderThatStopsHoldsNothingUp(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	l, err := logs.New(out, "info")
 	is.NoErr(err)
 	const lines = 40_000
@@ -50,23 +50,23 @@
 	for i := range 1000 {
 		l.WithFields(logrus.Fields{"event": "request_failed", "request": fmt.Sprint("f", i)}).Warn()
 	}
-	is.True(time.Since(begin) < 20*time.Second) // it would never end if it blocked
+	is.True(time.Since(begin) < 20*time.Second) // without buffering, logging would block for ever
 	is.True(l.Dropped() > lines/2)
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	is.True(m.HeapAlloc < 16*logs.MaxWaiting)
-	close(out.free)
+	is.True(m.HeapAlloc < 16*logs.MaxPendingBytes)
+	close(out.release)
 	l.Close()
 	<-l.Done()
 	text := out.text()
 	is.Equal(strings.Count(text, "event=request_failed"), 1000)
-	is.Equal(toldDropped(text), l.Dropped())
+	is.Equal(reportedDropped(text), l.Dropped())
 	is.Equal(uint64(len(text)), l.Written())
 }
 
-// toldDropped adds up how many lines the log says are missing.
-func toldDropped(text string) (sum uint64) {
+// reportedDropped returns the sum of dropped lines that the log reports.
+func reportedDropped(text string) (sum uint64) {
 	for line := range strings.SplitSeq(text, "\n") {
 		_, after, found := strings.Cut(line, "event=log_lines_dropped")
 		if !found {
@@ -81,7 +81,7 @@
 	return sum
 }
 
-// TestCloseDoesNotWaitForEver ends a log whose reader never reads.
+// TestCloseDoesNotWaitForEver closes a log whose reader never reads.
 func TestCloseDoesNotWaitForEver(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe()
@@ -100,8 +100,8 @@
 
 func TestLevelsAndOrder(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
-	close(out.free)
+	out := &blockedWriter{release: make(chan struct{})}
+	close(out.release)
 	l, err := logs.New(out, "info")
 	is.NoErr(err)
 	l.WithField("event", "hidden").Debug()
--- a/logs/sink.go
+++ b/logs/sink.go
@@ -1,5 +1,5 @@
-// Package logs writes a process's log without ever holding the process up. Lines wait in a bounded
-// buffer while the reader is slow, and are left out, and counted, when it is full.
+// Package logs writes a process's log without ever blocking the process. Lines wait in a bounded buffer
+// while the reader is slow; when the buffer is full, they are dropped and counted.
 package logs
 
 import (
@@ -12,40 +12,40 @@
 )
 
 const (
-	// MaxWaiting bounds the bytes of lines that wait for a slow reader.
-	MaxWaiting = 1 << 20
-	// ordinaryShare is the part of MaxWaiting that ordinary lines may fill, so that failures and
-	// refusals still find room: one in so many.
-	ordinaryShare = 2
-	// gather is how long lines wait for others, so that many are written by one call.
-	gather clock.Millis = 100
-	// maxWrite bounds one write.
-	maxWrite = 64 << 10
-	// closeWait is how long Close waits for a reader.
-	closeWait clock.Millis = 250
+	// MaxPendingBytes bounds the bytes of lines that wait for a slow reader.
+	MaxPendingBytes = 1 << 20
+	// ordinaryDivisor limits ordinary lines to 1/ordinaryDivisor of MaxPendingBytes. The rest is reserved
+	// for failures and refusals.
+	ordinaryDivisor = 2
+	// batchDelay is how long lines wait for others, so that one call writes many.
+	batchDelay clock.Millis = 100
+	// maxWriteBytes is the batch size from which no more lines are added to a write.
+	maxWriteBytes = 64 << 10
+	// closeTimeout is how long Close waits for a slow reader.
+	closeTimeout clock.Millis = 250
 )
 
-// A Class says which lines are left out first.
+// A Class determines which lines are dropped first.
 type Class int
 
 // Classes of lines.
 const (
-	// Ordinary lines are left out first.
+	// Ordinary lines are dropped first.
 	Ordinary Class = iota
-	// Kept lines are about failures, refusals, and what changes rarely.
-	Kept
+	// Important lines report failures, refusals and rare changes.
+	Important
 )
 
-// A Sink struct takes lines and writes them in the background. It is safe for concurrent use.
+// A Sink buffers lines and writes them in the background. It is safe for concurrent use.
 type Sink struct {
 	out io.Writer
-	// note makes the line that tells of lines left out.
-	note func(lines uint64) []byte
+	// droppedNote formats the line that reports dropped lines.
+	droppedNote func(lines uint64) []byte
 
-	mu      sync.Mutex
-	waiting [][]byte
-	bytes   int
-	missed  uint64
+	mu         sync.Mutex
+	pending    [][]byte
+	bytes      int
+	unreported uint64
 
 	dropped atomic.Uint64
 	written atomic.Uint64
@@ -55,27 +55,28 @@
 	done    chan struct{}
 }
 
-// NewSink returns a sink that writes to out. Note makes the line that says how many were left out.
+// NewSink returns a sink that writes to out. The function note formats the line that reports how many lines were
+// dropped.
 func NewSink(out io.Writer, note func(lines uint64) []byte) *Sink {
-	s := &Sink{out: out, note: note, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	s := &Sink{out: out, droppedNote: note, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Put takes a line, with its end, and never blocks. The line is not copied.
-func (s *Sink) Put(c Class, line []byte) {
-	limit := MaxWaiting
+// Enqueue adds a line, which includes its line break, and never blocks. The line is not copied.
+func (s *Sink) Enqueue(c Class, line []byte) {
+	limit := MaxPendingBytes
 	if c == Ordinary {
-		limit /= ordinaryShare
+		limit /= ordinaryDivisor
 	}
 	s.mu.Lock()
 	if s.bytes+len(line) > limit {
-		s.missed++
+		s.unreported++
 		s.mu.Unlock()
 		s.dropped.Add(1)
 		return
 	}
-	s.waiting = append(s.waiting, line)
+	s.pending = append(s.pending, line)
 	s.bytes += len(line)
 	s.mu.Unlock()
 	select {
@@ -84,20 +85,20 @@
 	}
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (s *Sink) Dropped() uint64 {
 	return s.dropped.Load()
 }
 
-// Written returns how many bytes were written.
+// Written returns the number of bytes written.
 func (s *Sink) Written() uint64 {
 	return s.written.Load()
 }
 
-// Close writes what waits, if the reader takes it soon, and ends the sink.
+// Close writes the buffered lines and stops the sink. It does not wait longer than closeTimeout for the reader.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.stop) })
-	t := time.NewTimer(closeWait.Duration())
+	t := time.NewTimer(closeTimeout.Duration())
 	defer t.Stop()
 	select {
 	case <-s.done:
@@ -105,7 +106,7 @@
 	}
 }
 
-// Done is closed when the sink has ended.
+// Done returns a channel that is closed when the sink has stopped.
 func (s *Sink) Done() <-chan struct{} {
 	return s.done
 }
@@ -116,17 +117,17 @@
 		select {
 		case <-s.wake:
 		case <-s.stop:
-			s.drain()
+			s.flush()
 			return
 		}
-		s.gather()
-		s.drain()
+		s.waitForBatch()
+		s.flush()
 	}
 }
 
-// gather waits for more lines, but not while the sink ends.
-func (s *Sink) gather() {
-	t := time.NewTimer(gather.Duration())
+// waitForBatch waits for more lines, unless the sink is closing.
+func (s *Sink) waitForBatch() {
+	t := time.NewTimer(batchDelay.Duration())
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -134,10 +135,10 @@
 	}
 }
 
-// drain writes until nothing waits. A reader that has gone loses what is written.
-func (s *Sink) drain() {
+// flush writes until the buffer is empty. Lines are lost if the reader is gone: write errors are ignored.
+func (s *Sink) flush() {
 	for {
-		b := s.take()
+		b := s.nextBatch()
 		if len(b) == 0 {
 			return
 		}
@@ -146,24 +147,24 @@
 	}
 }
 
-// take returns the next lines to write, and first how many are missing before them.
-func (s *Sink) take() []byte {
+// nextBatch returns the next lines to write. A note on dropped lines, if any, follows them.
+func (s *Sink) nextBatch() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var b []byte
 	n := 0
-	for n < len(s.waiting) && len(b) < maxWrite {
-		b = append(b, s.waiting[n]...)
+	for n < len(s.pending) && len(b) < maxWriteBytes {
+		b = append(b, s.pending[n]...)
 		n++
 	}
 	s.bytes -= len(b)
-	s.waiting = s.waiting[n:]
-	if len(s.waiting) == 0 {
-		s.waiting = nil // give the memory of a burst back
+	s.pending = s.pending[n:]
+	if len(s.pending) == 0 {
+		s.pending = nil // release the memory of a burst
 	}
-	if s.missed > 0 {
-		b = append(b, s.note(s.missed)...)
-		s.missed = 0
+	if s.unreported > 0 {
+		b = append(b, s.droppedNote(s.unreported)...)
+		s.unreported = 0
 	}
 	return b
 }
