--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-const most = 8 << 20
+const maxSize = 8 << 20
 
 // rows returns so many lines with names by chance, the same for the same seed.
 func rows(seed uint64, count int) [][]byte {
@@ -50,14 +50,14 @@
 			is.NoErr(err)
 			t.Logf("%d bytes of %d", len(packed), len(value))
 			is.True(len(packed) <= c.most)
-			got, err := delta.Unpack(base, packed, most)
+			got, err := delta.Unpack(base, packed, maxSize)
 			is.NoErr(err)
 			is.True(bytes.Equal(got, value))
 		})
 	}
 }
 
-func TestAnyValueComesBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "base")
 		value := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "value")
@@ -68,15 +68,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := delta.Unpack(base, packed, most)
+		got, err := delta.Unpack(base, packed, maxSize)
 		if err != nil || !bytes.Equal(got, value) {
 			t.Fatalf("%v, %q for %q", err, got, value)
 		}
 	})
 }
 
-// TestValuesAreBounded unpacks a small message that stands for a large value.
-func TestValuesAreBounded(t *testing.T) {
+// TestMaxSize unpacks a small message that stands for a large value.
+func TestMaxSize(t *testing.T) {
 	is := is.New(t)
 	packed, err := delta.Pack(nil, make([]byte, 1<<20))
 	is.NoErr(err)
--- a/door/arrived_test.go
+++ b/door/arrived_test.go
@@ -32,7 +32,7 @@
 // A node whose process stood still for a quarter of a second around its end reset 118 requests of one stop: their
 // connections waited to be accepted, sent up to 460 ms before. The listener went by the time since it was told to close,
 // and that was over when the process ran again, before it had looked even once.
-func TestShutServesWhoHasConnectedAfterAStall(t *testing.T) {
+func TestStopAcceptingServesQueuedConnectionsAfterStall(t *testing.T) {
 	is := is.New(t)
 	d, address := open(t, 0)
 	var conns []net.Conn
@@ -44,7 +44,7 @@
 		is.NoErr(err)
 		conns = append(conns, c)
 	}
-	d.Shut()
+	d.StopAccepting()
 	time.Sleep(300 * time.Millisecond) // nobody accepts
 	served := make(chan error, 1)
 	go func() { served <- d.Serve() }()
@@ -54,12 +54,12 @@
 		is.Equal(got, fmt.Sprint("answer to /", i))
 	}
 	is.True(<-served != nil) // nobody else comes in
-	is.True(d.IsShut())
+	is.True(d.AcceptStopped())
 }
 
 // Requests that had come to the machine of a node, and that it had not read yet as it hung up, were reset: a read whose
 // deadline is over does not look at what is there. The slower the node, the more of them.
-func TestHangUpAnswersWhatHasArrived(t *testing.T) {
+func TestCloseWhenIdleAnswersArrivedRequests(t *testing.T) {
 	is := is.New(t)
 	d, address := open(t, 0)
 	go func() { _ = d.Serve() }()
@@ -69,12 +69,12 @@
 		c, r := visit(t, address)
 		conns, readers = append(conns, c), append(readers, r)
 	}
-	eventually(t, func() bool { return d.Counts().Resting == len(conns) })
+	eventually(t, func() bool { return d.Counts().Idle == len(conns) })
 	for i, c := range conns {
 		_, err := io.WriteString(c, request(fmt.Sprint("/", i)))
 		is.NoErr(err)
 	}
-	d.HangUp()
+	d.CloseWhenIdle()
 	lost := 0
 	for i, c := range conns {
 		got, err := answer(c, readers[i])
@@ -87,7 +87,7 @@
 }
 
 // A request may come while the one before it is at work, in part. It has been read, if not by its handler.
-func TestHangUpAnswersWhatWasReadBesideAnother(t *testing.T) {
+func TestCloseWhenIdleAnswersPipelinedRequest(t *testing.T) {
 	for _, early := range []int{1, 12} { // the library reads one byte beside a handler, or all that came with a request
 		is := is.New(t)
 		d, address := open(t, 50*time.Millisecond)
@@ -104,7 +104,7 @@
 		is.NoErr(err)
 		is.Equal(got, "answer to /one")
 		time.Sleep(20 * time.Millisecond)
-		d.HangUp()
+		d.CloseWhenIdle()
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, request("/two")[early:])
 		got, err = answer(c, r)
--- a/door/conn_test.go
+++ b/door/conn_test.go
@@ -27,20 +27,20 @@
 	return nil
 }
 
-// TestWhatHasBeenReadTakesTheEndBack: the rest of a request is read whose first byte was, when its connection ended.
-func TestWhatHasBeenReadTakesTheEndBack(t *testing.T) {
+// TestFirstByteRestoresDeadline: the rest of a request is read whose first byte was, when its connection ended.
+func TestFirstByteRestoresDeadline(t *testing.T) {
 	is := is.New(t)
 	x := &crossing{}
-	c := &conn{Conn: x, door: &Door{}, resting: true}
-	x.hangUp = c.hangUp
+	c := &conn{Conn: x, server: &Server{}, idle: true}
+	x.hangUp = c.closeWhenIdle
 	header := time.Now().Add(time.Second)
 	is.NoErr(c.SetReadDeadline(header))
 	n, err := c.Read(make([]byte, 1))
 	is.NoErr(err)
 	is.Equal(n, 1)
 	is.Equal(x.deadline, header)
-	is.True(!c.rests())
-	c.rest() // once it is answered
+	is.True(!c.isIdle())
+	c.setIdle() // once it is answered
 	is.NoErr(c.SetReadDeadline(header))
 	is.Equal(x.deadline, past)
 }
--- a/door/hangup_test.go
+++ b/door/hangup_test.go
@@ -25,18 +25,18 @@
 // A connection that rests is looked at a last time and then closed; a request that comes in between is lost. A door held
 // all of its connections while it hung them up, one after the other, and none of them could be closed meanwhile. Of 8,000
 // requests that came within 4 ms of the end of their connections, on a loaded machine, 283 to 1,026 had no answer.
-func TestHangUpHoldsNobodyUp(t *testing.T) {
+func TestCloseWhenIdleReleasesLock(t *testing.T) {
 	is := is.New(t)
-	d := &Door{conns: map[*conn]struct{}{}}
+	d := &Server{conns: map[*conn]struct{}{}}
 	h := &held{entered: make(chan bool), free: make(chan bool)}
-	other := &conn{door: d}
-	d.opened(&conn{Conn: h, door: d, resting: true})
-	go d.HangUp()
+	other := &conn{server: d}
+	d.addConn(&conn{Conn: h, server: d, idle: true})
+	go d.CloseWhenIdle()
 	<-h.entered
 	closed := make(chan bool)
 	go func() {
-		d.opened(other)
-		d.closed(other)
+		d.addConn(other)
+		d.removeConn(other)
 		close(closed)
 	}()
 	select {
@@ -45,11 +45,11 @@
 		t.Error("a connection could not be closed while another one was hung up")
 	}
 	close(h.free)
-	is.Equal(d.Counts(), Counts{Resting: 1})
+	is.Equal(d.Counts(), Counts{Idle: 1})
 }
 
 // The end that a visitor sees came with the close of the connection, which the server gets to later than the last look.
-func TestLastLookEndsTheConnection(t *testing.T) {
+func TestIdleCloseSendsEOF(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -60,9 +60,9 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, resting: true, kept: true}
+	c := &conn{Conn: accepted, server: &Server{}, idle: true, answered: true}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
-	c.hangUp()
+	c.closeWhenIdle()
 	_, err = c.Read(make([]byte, 100))
 	is.True(err != nil)
 	is.NoErr(caller.SetReadDeadline(time.Now().Add(2 * time.Second)))
--- a/door/idle_test.go
+++ b/door/idle_test.go
@@ -13,7 +13,7 @@
 // A connection that rests ends when its time is over. A process that stood still across that moment found the time over and
 // a request there, and looked at the time alone: the request was reset unread. Of 400 requests sent within 200 ms to a node
 // that stood still for 2 s around the end of their connections' rest, 65 got "unexpected EOF".
-func TestWhatHasArrivedIsReadWhenTheRestIsOver(t *testing.T) {
+func TestIdleTimeoutReadsArrivedRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -24,7 +24,7 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer func() { _ = accepted.Close() }()
-	c := &conn{Conn: accepted, door: &Door{}, resting: true, kept: true, idle: func() time.Duration { return 10 * time.Millisecond }}
+	c := &conn{Conn: accepted, server: &Server{}, idle: true, answered: true, idleTimeout: func() time.Duration { return 10 * time.Millisecond }}
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Minute)))
 	const sent = "GET / HTTP/1.1\r\n"
 	_, err = io.WriteString(caller, sent)
@@ -34,11 +34,11 @@
 	n, err := c.Read(got)
 	is.NoErr(err)
 	is.Equal(string(got[:n]), sent)
-	is.True(!c.rests())
+	is.True(!c.isIdle())
 }
 
-// TestRestThatIsOverEndsTheConnection: without a request there, the time alone decides.
-func TestRestThatIsOverEndsTheConnection(t *testing.T) {
+// TestIdleTimeoutClosesConnection: without a request there, the time alone decides.
+func TestIdleTimeoutClosesConnection(t *testing.T) {
 	is := is.New(t)
 	d, address := openIdle(t, 50*time.Millisecond)
 	go func() { _ = d.Serve() }()
@@ -52,7 +52,7 @@
 	is.NoErr(err) // its end
 }
 
-func openIdle(t *testing.T, idle time.Duration) (*Door, string) {
+func openIdle(t *testing.T, idle time.Duration) (*Server, string) {
 	t.Helper()
 	d, err := Listen("callers", "127.0.0.1:0", &http.Server{Handler: http.NotFoundHandler(), IdleTimeout: time.Minute}, func() time.Duration { return idle })
 	if err != nil {
--- a/door/open_test.go
+++ b/door/open_test.go
@@ -9,10 +9,10 @@
 
 // A node ends once nothing is open at its doors. Whether the door was shut was looked at after its connections had been
 // counted: a visitor who came in between, as the last one before it shut, was in neither, and the end would cut him.
-func TestDoorThatShutsWhileItIsCountedIsOpen(t *testing.T) {
+func TestOpenSeesConnectionAcceptedDuringClose(t *testing.T) {
 	is := is.New(t)
-	c := &conn{resting: true}
-	d := &Door{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
+	c := &conn{idle: true}
+	d := &Server{listener: &listener{}, conns: map[*conn]struct{}{c: {}}}
 	c.mu.Lock() // the count waits for it
 	counted := make(chan int)
 	go func() { counted <- d.Open() }()
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -1,5 +1,5 @@
-// Package forward sends single requests to targets and reads their answers. One request at a time
-// is on a connection, none is ever sent twice, and an answer counts only if it names the request.
+// Package forward sends single requests to targets and reads their responses. A connection carries one
+// request at a time, no request is sent twice, and a response counts only if it carries the request's id.
 package forward
 
 import (
@@ -20,55 +20,53 @@
 )
 
 const (
-	// maxHeaderBytes bounds an answer's header.
+	// maxHeaderBytes bounds a response's header.
 	maxHeaderBytes = 64 << 10
-	// readBuffer holds a usual answer's header and the start of its body.
-	readBuffer = 4 << 10
-	// maxIdle is how many idle connections are kept to one address.
-	maxIdle = 16
-	// idleMargin is how much sooner than the target tells its idle connections are given up, for
-	// the way there and late timers.
+	// readBufferSize holds a typical response's header and the start of its body.
+	readBufferSize = 4 << 10
+	// maxIdlePerAddress is how many idle connections are kept to one address.
+	maxIdlePerAddress = 16
+	// idleMargin is subtracted from the idle timeout that a target announces, to cover network delay and
+	// late timers.
 	idleMargin clock.Millis = 1000
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a connection that went silent while it rested
-	// in 4 s, before a run-once request may be lost on it.
-	keepAliveIdle  = 2 * time.Second
-	keepAliveEvery = 1 * time.Second
-	keepAliveCount = 2
-	// idleUntold is how long a connection is kept whose target tells no time.
-	idleUntold clock.Millis = 4000
+	// TCP keep-alive detects a dead idle connection within 4 s, before a run-once request is lost on it.
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = 1 * time.Second
+	keepAliveCount    = 2
+	// defaultIdleTimeout applies to targets that announce no idle timeout.
+	defaultIdleTimeout clock.Millis = 4000
 )
 
 // ErrSent marks failures after which the target may have run the request. Without it, no byte of
 // the request was written.
 var ErrSent = errors.New("request may have run")
 
-// ErrBody marks failures to read the body that should have been sent. The request has not gone out whole.
-var ErrBody = errors.New("the request's body could not be read")
+// ErrRequestBody marks failures to read the request's body from its source. The request was not sent completely.
+var ErrRequestBody = errors.New("the request's body could not be read")
 
-// ErrNoConnection marks failures to get a connection.
+// ErrNoConnection marks failures to connect.
 var ErrNoConnection = errors.New("no connection")
 
-// A Conn struct is one connection to a target.
+// A Conn is a connection to a target.
 type Conn struct {
-	net     net.Conn
-	limit   *io.LimitedReader
-	reader  *bufio.Reader
-	address string
-	idleAt  clock.Millis
-	// keep is how long the target keeps the connection when it is idle.
-	keep clock.Millis
-	// spoiled connections carry no further request.
-	spoiled bool
+	net       net.Conn
+	limit     *io.LimitedReader
+	reader    *bufio.Reader
+	address   string
+	idleSince clock.Millis
+	// idleTimeout is how long the target keeps the connection open while it is idle.
+	idleTimeout clock.Millis
+	// noReuse is set if the connection must not carry another request.
+	noReuse bool
 }
 
 func newConn(nc net.Conn, address string) *Conn {
 	limit := &io.LimitedReader{R: nc, N: math.MaxInt64}
-	return &Conn{net: nc, limit: limit, reader: bufio.NewReaderSize(limit, readBuffer), address: address, keep: idleUntold}
+	return &Conn{net: nc, limit: limit, reader: bufio.NewReaderSize(limit, readBufferSize), address: address, idleTimeout: defaultIdleTimeout}
 }
 
-// quiet says that nothing has come on the idle connection: neither its end, nor bytes that nobody
-// asked for.
-func (c *Conn) quiet() bool {
+// isQuiet reports whether nothing has arrived on the idle connection: neither its end nor unsolicited bytes.
+func (c *Conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -80,13 +78,13 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
 
 // Close closes the connection.
@@ -94,21 +92,21 @@
 	_ = c.net.Close()
 }
 
-// learn takes in what the answer's header says of the connection.
-func (c *Conn) learn(h http.Header) {
+// readKeepAlive sets the idle timeout from the response's Keep-Alive header.
+func (c *Conn) readKeepAlive(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.ParseInt(strings.TrimSpace(value), 10, 32); err == nil {
-			c.keep = max(clock.Millis(n)*clock.Second-idleMargin, 0)
+			c.idleTimeout = max(clock.Millis(n)*clock.Second-idleMargin, 0)
 		}
 	}
 }
 
-// Conns holds the connections to targets. It is safe for concurrent use.
-type Conns struct {
+// A ConnPool holds the connections to targets. It is safe for concurrent use.
+type ConnPool struct {
 	clock  clock.Clock
 	dialer net.Dialer
 
@@ -117,22 +115,22 @@
 	dials uint64
 }
 
-// NewConns returns a Conns without connections, that gives up connecting after the time-out.
-func NewConns(c clock.Clock, timeout clock.Millis) *Conns {
-	return &Conns{clock: c, idle: map[string][]*Conn{}, dialer: net.Dialer{
+// NewConnPool returns an empty ConnPool with the given dial timeout.
+func NewConnPool(c clock.Clock, timeout clock.Millis) *ConnPool {
+	return &ConnPool{clock: c, idle: map[string][]*Conn{}, dialer: net.Dialer{
 		Timeout:         timeout.Duration(),
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}}
 }
 
-// get returns an idle connection that rested no longer than the age, or a new one.
-func (p *Conns) get(ctx context.Context, address string, age clock.Millis) (c *Conn, reused bool, err error) {
+// get returns a connection that has been idle for at most maxIdle, or dials a new one.
+func (p *ConnPool) get(ctx context.Context, address string, maxIdle clock.Millis) (c *Conn, reused bool, err error) {
 	for {
-		c := p.takeIdle(address, age)
+		c := p.takeIdle(address, maxIdle)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.isQuiet() {
 			return c, true, nil
 		}
 		c.Close()
@@ -147,8 +145,8 @@
 	return newConn(nc, address), false, nil
 }
 
-// takeIdle takes the connection that rested the shortest.
-func (p *Conns) takeIdle(address string, age clock.Millis) *Conn {
+// takeIdle returns the most recently used idle connection, or nil if that one is too old.
+func (p *ConnPool) takeIdle(address string, maxIdle clock.Millis) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -156,35 +154,35 @@
 		return nil
 	}
 	c := list[len(list)-1]
-	if p.clock.Now()-c.idleAt > min(age, c.keep) {
+	if p.clock.Now()-c.idleSince > min(maxIdle, c.idleTimeout) {
 		return nil
 	}
 	p.idle[address] = list[:len(list)-1]
 	return c
 }
 
-// put keeps a connection for the next request.
-func (p *Conns) put(c *Conn) {
-	c.idleAt = p.clock.Now()
+// put returns a connection to the pool, or closes it if the pool is full or the target keeps none open.
+func (p *ConnPool) put(c *Conn) {
+	c.idleSince = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
-	if len(list) >= maxIdle || c.keep <= 0 {
+	if len(list) >= maxIdlePerAddress || c.idleTimeout <= 0 {
 		c.Close()
 		return
 	}
 	p.idle[c.address] = append(list, c)
 }
 
-// Dials returns how many connections were opened.
-func (p *Conns) Dials() uint64 {
+// Dials returns the number of dial attempts.
+func (p *ConnPool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// Forget closes the idle connections to the address.
-func (p *Conns) Forget(address string) {
+// CloseIdle closes the idle connections to the address.
+func (p *ConnPool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -194,15 +192,15 @@
 	}
 }
 
-// Purge closes connections that rested for as long as their targets keep them.
-func (p *Conns) Purge() {
+// CloseExpired closes connections whose idle timeout has passed.
+func (p *ConnPool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now-c.idleAt > c.keep {
+			if now-c.idleSince > c.idleTimeout {
 				c.Close()
 				continue
 			}
@@ -214,11 +212,11 @@
 	}
 }
 
-// past is a deadline that ends all reads and writes at once.
+// past is a deadline that makes all reads and writes fail at once.
 var past = time.Unix(1, 0)
 
-// interrupt ends what waits on the connection when the context ends. The returned function must
-// be called; it reports whether the connection is unharmed.
+// interrupt makes pending reads and writes fail when ctx is done. The returned function must be called;
+// it reports whether the connection was not interrupted.
 func (c *Conn) interrupt(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(past) })
 }
--- a/forward/look.go
+++ b/forward/look.go
@@ -9,56 +9,57 @@
 )
 
 const (
-	// lookTimeout bounds a look: one way between halls and back, with room, and little for a caller who waits.
-	lookTimeout = 50 * time.Millisecond
-	// looks and lookPause are how often a look is repeated where something still listens: a process that ends may
-	// lose its connections a little before its door.
-	looks     = 2
-	lookPause = 15 * time.Millisecond
+	// probeTimeout covers a round trip between halls with some room; it is short since the caller waits.
+	probeTimeout = 50 * time.Millisecond
+	// While something still listens, a probe is repeated: an exiting process may lose its connections
+	// shortly before its listener.
+	probeAttempts = 2
+	probeInterval = 15 * time.Millisecond
 )
 
-// A Door is what a look at an address found.
-type Door int
+// A ProbeResult is the state of an address.
+type ProbeResult int
 
-// Doors.
+// The probe results.
 const (
-	// Open doors take a connection: the process that a connection broke off from lives, or another one is there already.
-	Open Door = iota
-	// Shut doors are refused by a machine that answers: no process listens there any more.
-	Shut
-	// Unseen doors do not answer in time, or cannot be reached.
-	Unseen
+	// Listening addresses accept a connection: the target process is alive or has been replaced.
+	Listening ProbeResult = iota
+	// Refused means that the host answered but no process listens there any more.
+	Refused
+	// Unreachable addresses do not answer in time, or have no route.
+	Unreachable
 )
 
-// String returns the door's name.
-func (d Door) String() string {
-	return [...]string{"open", "shut", "unseen"}[d]
+// String returns the name that logs use.
+func (r ProbeResult) String() string {
+	return [...]string{"open", "shut", "unseen"}[r]
 }
 
-// Look says whether anything listens at the address, by a connection of its own. What breaks a single connection, such as
-// a cut link or a target that closes those at rest, leaves the door open or unseen; the end of the process shuts it.
-func (p *Conns) Look(ctx context.Context, address string) (d Door) {
-	for i := range looks {
+// Probe reports whether anything listens at the address, using a new connection. A failure of one connection,
+// such as a cut link or an idle connection closed by the target, leaves the address Listening or Unreachable;
+// the end of the process makes it Refused.
+func (p *ConnPool) Probe(ctx context.Context, address string) (d ProbeResult) {
+	for i := range probeAttempts {
 		if i > 0 {
-			time.Sleep(lookPause)
+			time.Sleep(probeInterval)
 		}
-		if d = p.look(ctx, address); d != Open {
+		if d = p.probeOnce(ctx, address); d != Listening {
 			return d
 		}
 	}
 	return d
 }
 
-func (p *Conns) look(ctx context.Context, address string) Door {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+func (p *ConnPool) probeOnce(ctx context.Context, address string) ProbeResult {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c, err := p.dialer.DialContext(ctx, "tcp", address)
 	switch {
 	case err == nil:
 		_ = c.Close()
-		return Open
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
-		return Shut
+		return Refused
 	}
-	return Unseen
+	return Unreachable
 }
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -18,8 +18,8 @@
 	"github.com/tinladder/tinladder/forward"
 )
 
-// script is a target that answers each request with the next of its answers, as they stand.
-type script struct {
+// scriptedTarget is a target that answers each request with the next of its raw responses.
+type scriptedTarget struct {
 	t        *testing.T
 	address  string
 	accepted atomic.Int32
@@ -27,15 +27,15 @@
 	paths    chan string
 }
 
-// serve answers connection after connection. Each connection gets the answers from the first on; a
-// connection closes after an answer that is empty, or after the last one.
-func serve(t *testing.T, answers ...string) *script {
+// startTarget serves connections concurrently. Each connection gets the responses from the first on, and is
+// closed at an empty one. After the last response, the target waits for the client to close.
+func startTarget(t *testing.T, answers ...string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &script{t: t, address: l.Addr().String(), paths: make(chan string, 100)}
+	s := &scriptedTarget{t: t, address: l.Addr().String(), paths: make(chan string, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *script) connection(c net.Conn, answers []string) {
+func (s *scriptedTarget) connection(c net.Conn, answers []string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for _, a := range answers {
@@ -68,7 +68,7 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func ok(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -82,20 +82,20 @@
 	}
 }
 
-func newConns() *forward.Conns {
-	return forward.NewConns(clock.NewSystem(), 200)
+func newConns() *forward.ConnPool {
+	return forward.NewConnPool(clock.NewSystem(), 200)
 }
 
-func send(t *testing.T, p *forward.Conns, s *script, r *forward.Request) (*forward.Answer, error) {
+func send(t *testing.T, p *forward.ConnPool, s *scriptedTarget, r *forward.Request) (*forward.Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return p.Send(ctx, s.address, r)
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, ok("1", "one"), ok("2", "two"), ok("3", "three"))
+	s := startTarget(t, okResponse("1", "one"), okResponse("2", "two"), okResponse("3", "three"))
 	p := newConns()
 	for i, want := range []string{"one", "two", "three"} {
 		a, err := send(t, p, s, request(string(rune('1'+i))))
@@ -106,25 +106,25 @@
 	is.Equal(s.accepted.Load(), int32(1))
 }
 
-// TestStrayAnswers has answers come that belong to other requests, in every place.
-func TestStrayAnswers(t *testing.T) {
+// Responses to other requests arrive extra, late, or as garbage: none may be returned for this request.
+func TestUnmatchedResponses(t *testing.T) {
 	cases := []struct {
 		name    string
 		answers []string
 	}{
-		{"extra, at once", []string{ok("1", "one") + ok("1", "one"), ok("2", "two")}},
-		{"late, in the next one's place", []string{ok("1", "one"), ok("1", "one") + ok("2", "two")}},
-		{"bytes that are no answer", []string{ok("1", "one") + "rubbish", ok("2", "two")}},
+		{"extra, at once", []string{okResponse("1", "one") + okResponse("1", "one"), okResponse("2", "two")}},
+		{"late, in the next one's place", []string{okResponse("1", "one"), okResponse("1", "one") + okResponse("2", "two")}},
+		{"bytes that are no answer", []string{okResponse("1", "one") + "rubbish", okResponse("2", "two")}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, c.answers...)
+			s := startTarget(t, c.answers...)
 			p := newConns()
 			a, err := send(t, p, s, request("1"))
 			is.NoErr(err)
 			is.Equal(string(a.Body), "one")
-			time.Sleep(20 * time.Millisecond) // let what is extra arrive
+			time.Sleep(20 * time.Millisecond) // let the extra bytes arrive
 			a, err = send(t, p, s, request("2"))
 			if err == nil {
 				is.Equal(string(a.Body), "two")
@@ -134,28 +134,28 @@
 	}
 }
 
-func TestOnlyStrayAnswersFail(t *testing.T) {
+func TestOnlyUnmatchedResponses(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, ok("9", "a")+ok("8", "b")+ok("7", "c"))
+	s := startTarget(t, okResponse("9", "a")+okResponse("8", "b")+okResponse("7", "c"))
 	_, err := send(t, newConns(), s, request("1"))
-	is.True(errors.Is(err, forward.ErrAnswer))
+	is.True(errors.Is(err, forward.ErrBadResponse))
 	is.True(errors.Is(err, forward.ErrSent))
 }
 
-func TestAnswerWithoutIDCountsOnlyIfItMay(t *testing.T) {
+func TestResponseWithoutID(t *testing.T) {
 	is := is.New(t)
 	plain := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-	_, err := send(t, newConns(), serve(t, plain), request("1"))
+	_, err := send(t, newConns(), startTarget(t, plain), request("1"))
 	is.True(err != nil)
 	r := request("1")
 	r.IDOptional = true
-	a, err := send(t, newConns(), serve(t, plain), r)
+	a, err := send(t, newConns(), startTarget(t, plain), r)
 	is.NoErr(err)
 	is.Equal(string(a.Body), "hi")
 }
 
-// TestCutAnswersAreNotWhole ends answers early, in every way.
-func TestCutAnswersAreNotWhole(t *testing.T) {
+// A response that is truncated or malformed must fail and must not be retried.
+func TestTruncatedResponsesFail(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
 		"chunks":     "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -166,18 +166,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, answer, "")
+			s := startTarget(t, answer, "")
 			_, err := send(t, newConns(), s, request("1"))
 			is.True(err != nil)
 			is.True(errors.Is(err, forward.ErrSent))
-			is.Equal(s.requests.Load(), int32(1)) // it is never sent again
+			is.Equal(s.requests.Load(), int32(1)) // not retried
 		})
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsAtEOF(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it", "")
+	s := startTarget(t, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nall of it", "")
 	go func() { <-s.paths }()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -197,7 +197,7 @@
 	is.True(a.Closing)
 }
 
-func TestNoConnectionIsToldApart(t *testing.T) {
+func TestDialErrorIsMarked(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -208,15 +208,15 @@
 	is.True(!errors.Is(err, forward.ErrSent))
 }
 
-// TestClosedIdleConnectionIsNotUsed has the target close a connection that rests.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// The target closes a reused connection at its second request: that request is lost and not sent again, and the
+// next one gets a new connection.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, ok("1", "one"), "")
+	s := startTarget(t, okResponse("1", "one"), "")
 	p := newConns()
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
-	// The script closes the connection at its second request, which goes out on it: lost, and not
-	// sent again.
+	// The target closes the connection on this request.
 	_, err = send(t, p, s, request("2"))
 	is.True(errors.Is(err, forward.ErrSent))
 	is.Equal(s.requests.Load(), int32(2))
@@ -225,11 +225,11 @@
 	is.Equal(string(a.Body), "one")
 }
 
-func TestKeepAliveTimeIsKept(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	s := serve(t, strings.Replace(ok("1", "one"), "X-Id", "Keep-Alive: timeout=3\r\nX-Id", 1), ok("2", "two"))
-	p := forward.NewConns(c, 200)
+	s := startTarget(t, strings.Replace(okResponse("1", "one"), "X-Id", "Keep-Alive: timeout=3\r\nX-Id", 1), okResponse("2", "two"))
+	p := forward.NewConnPool(c, 200)
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
 	c.Advance(2001)
@@ -238,11 +238,11 @@
 	is.Equal(s.accepted.Load(), int32(2)) // a second before the target would close it
 }
 
-func TestRestedConnectionIsLeftToOthers(t *testing.T) {
+func TestMaxIdle(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	s := serve(t, ok("1", "one"), ok("1", "one"))
-	p := forward.NewConns(c, 200)
+	s := startTarget(t, okResponse("1", "one"), okResponse("1", "one"))
+	p := forward.NewConnPool(c, 200)
 	_, err := send(t, p, s, request("1"))
 	is.NoErr(err)
 	c.Advance(100)
@@ -274,9 +274,9 @@
 	is.True(<-closed)
 }
 
-// TestEarlyAnswerSpoilsTheConnection has a target answer before it has read a long body: what is left
-// of the body must not be followed by another request.
-func TestEarlyAnswerSpoilsTheConnection(t *testing.T) {
+// A target responds before it has read a long body: the connection must not be reused, since the remaining body
+// would precede the next request.
+func TestEarlyResponsePreventsReuse(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -294,7 +294,7 @@
 				if _, err := http.ReadRequest(r); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, ok("1", "early"))
+				_, _ = io.WriteString(c, okResponse("1", "early"))
 			}()
 		}
 	}()
@@ -316,8 +316,8 @@
 	return len(p), nil
 }
 
-// TestLargeAnswerComesInParts reads an answer that is not kept whole.
-func TestLargeAnswerComesInParts(t *testing.T) {
+// A body above the buffering limit is streamed, and its connection is reused afterwards.
+func TestLargeResponseIsStreamed(t *testing.T) {
 	is := is.New(t)
 	const size = 1 << 20
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -350,11 +350,11 @@
 	is.Equal(p.Dials(), uint64(1))
 }
 
-func TestPathsAreWrittenAsTheyStand(t *testing.T) {
+func TestPathsAreSentVerbatim(t *testing.T) {
 	for _, path := range []string{"/", "/a%2Fb?x=%20&y", "//double/slash", "/a?", "/ä"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, ok("1", "one"))
+			s := startTarget(t, okResponse("1", "one"))
 			r := request("1")
 			r.Target = path
 			_, err := send(t, newConns(), s, r)
@@ -364,20 +364,19 @@
 	}
 }
 
-// TestBrokenBodyEndsTheRequest has a streamed body fail on its way. The target, which waits for the rest, is not waited
-// for.
-func TestBrokenBodyEndsTheRequest(t *testing.T) {
+// A streamed body fails while it is sent. The target waits for the rest, and Send must not wait for the target.
+func TestBodyReadErrorEndsTheRequest(t *testing.T) {
 	for _, length := range []int64{-1, 32 << 20} {
 		is := is.New(t)
-		s := serve(t, ok("1", "never"))
+		s := startTarget(t, okResponse("1", "never"))
 		broken := errors.New("broken")
 		r := request("1")
 		r.Method, r.Length = http.MethodPost, length
 		r.Stream = io.MultiReader(io.LimitReader(zeros{}, 1<<20), iotest.ErrReader(broken))
 		start := time.Now()
 		_, err := send(t, newConns(), s, r)
-		is.True(errors.Is(err, forward.ErrBody))
-		is.True(errors.Is(err, forward.ErrSent)) // a part has gone out
+		is.True(errors.Is(err, forward.ErrRequestBody))
+		is.True(errors.Is(err, forward.ErrSent)) // part of the body was sent
 		is.True(errors.Is(err, broken))
 		is.True(time.Since(start) < 500*time.Millisecond) // the context would end in a second
 	}
--- a/pacer/work_test.go
+++ b/pacer/work_test.go
@@ -8,15 +8,15 @@
 	"github.com/tinladder/tinladder/pacer"
 )
 
-// TestWorkKeepsToItsShare offers jobs all the time on processors of different speeds. What they take stays within the share
+// TestRunnerKeepsItsShare offers jobs all the time on processors of different speeds. What they take stays within the share
 // also where each takes many times the estimate: beside busy processes a node gave 57 large answers in 5.46 s and did
 // nothing else, since each was charged for as on an idle machine.
-func TestWorkKeepsToItsShare(t *testing.T) {
+func TestRunnerKeepsItsShare(t *testing.T) {
 	const (
 		span     = 20 * clock.Second
 		estimate = 23.0
 	)
-	part := pacer.Part{Share: 0.25, Measured: 0.2, Ahead: 100}
+	part := pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100}
 	cases := []struct {
 		name string
 		// within is how long a job takes within Do, in milliseconds.
@@ -32,26 +32,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := clock.NewManual(1000)
-			w := pacer.NewWork(m, part)
+			w := pacer.NewRunner(m, part)
 			done := 0
 			for end := m.Now() + span; m.Now() < end; m.Advance(1) {
 				if w.Do(func() float64 { m.Advance(c.within); return estimate }) {
 					done++
 				}
 			}
-			whole := float64(c.within) / part.Measured
+			whole := float64(c.within) / part.MeasuredFraction
 			t.Logf("%d jobs of %.0f ms in %d ms", done, whole, span)
-			is.True(float64(done)*whole <= part.Share*float64(span)+float64(part.Ahead)+2*whole)
+			is.True(float64(done)*whole <= part.Fraction*float64(span)+float64(part.MaxAhead)+2*whole)
 			is.True(done >= c.least)
 		})
 	}
 }
 
-// TestOneJobThatStandsStillStopsNoOthers has a process stand still for a minute in the middle of a large job.
-func TestOneJobThatStandsStillStopsNoOthers(t *testing.T) {
+// TestStalledJobChargeIsBounded has a process stand still for a minute in the middle of a large job.
+func TestStalledJobChargeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
-	w := pacer.NewWork(m, pacer.Part{Share: 0.25, Measured: 0.2, Ahead: 100})
+	w := pacer.NewRunner(m, pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100})
 	job := func() float64 { return 23 }
 	is.True(w.Do(func() float64 { m.Advance(clock.Minute); return 23 }))
 	is.True(!w.Do(job))
@@ -59,12 +59,12 @@
 	is.True(w.Do(job))
 }
 
-// TestSmallJobsThatAreInterruptedStopNoOthers interrupts small jobs for some milliseconds each, as busy machines do. Nodes
+// TestInterruptedJobChargeIsBounded interrupts small jobs for some milliseconds each, as busy machines do. Nodes
 // that started gave each other the desired state without its targets, since the answer before had been interrupted.
-func TestSmallJobsThatAreInterruptedStopNoOthers(t *testing.T) {
+func TestInterruptedJobChargeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := clock.NewManual(1000)
-	w := pacer.NewWork(m, pacer.Part{Share: 0.25, Measured: 0.2, Ahead: 100})
+	w := pacer.NewRunner(m, pacer.Share{Fraction: 0.25, MeasuredFraction: 0.2, MaxAhead: 100})
 	for range 100 {
 		is.True(w.Do(func() float64 { m.Advance(20); return 0.1 }))
 	}
