--- a/node/heldback.go
+++ b/node/heldback.go
@@ -14,7 +14,7 @@
 func (x *exchange) lost(ctx context.Context, l *pool.Lease) forward.ProbeResult {
 	door := x.node.conns.Probe(ctx, l.Address)
 	if door == forward.Refused && !l.Leaving() {
-		x.node.suspects.crashed(x, l.Target, l.From())
+		x.node.suspects.crashed(x, l.Target, l.Start())
 	}
 	return door
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -16,21 +16,21 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// node is one node's pool, with what it told the others.
+// node is one node's pool, with the changes and events that it published.
 type node struct {
 	*pool.Pool
 	clock *clock.Manual
 	name  ident.Process
 	peers []*node
 
-	mu     sync.Mutex
-	news   []pool.News
-	events []pool.Event
+	mu      sync.Mutex
+	changes []pool.ChangeKind
+	events  []pool.Event
 }
 
 func newNode(c *clock.Manual, name string) *node {
 	n := &node{clock: c, name: ident.Process{Node: ident.Node(name), Incarnation: 1}}
-	b := pool.NewBudget(c, 0.2, 100, 10*clock.Second)
+	b := pool.NewRetryBudget(c, 0.2, 100, 10*clock.Second)
 	n.Pool = pool.New(pool.DefaultTuning, c, rand.New(rand.NewPCG(1, 2)), b, n.changed, n.tell)
 	return n
 }
@@ -41,34 +41,34 @@
 	n.events = append(n.events, e)
 }
 
-func (n *node) changed(w pool.News, _ ident.Hall) {
+func (n *node) changed(w pool.ChangeKind, _ ident.Hall) {
 	n.mu.Lock()
-	n.news = append(n.news, w)
+	n.changes = append(n.changes, w)
 	n.mu.Unlock()
 	if r := n.Report(false); r != nil {
 		for _, p := range n.peers {
-			p.Hear(n.name, r)
+			p.ApplyReport(n.name, r)
 		}
 	}
 }
 
-// targets returns near targets a, b, c ... of so many slots.
+// targets returns count targets of this hall, with ids a, b, c and so on.
 func targets(count, slots int) []pool.Target {
 	var list []pool.Target
 	for i := range count {
 		id := string(rune('a' + i))
-		list = append(list, pool.Target{ID: ident.Target(id), Address: id, Slots: slots, Near: true, Ours: true})
+		list = append(list, pool.Target{ID: ident.Target(id), Address: id, Slots: slots, SameHall: true, Assigned: true})
 	}
 	return list
 }
 
-func (n *node) ask(repeatable bool) *pool.Ask {
+func (n *node) request(repeatable bool) *pool.Request {
 	now := n.clock.Now()
-	return &pool.Ask{Repeatable: repeatable, Again: repeatable, Began: now, Aim: 800, Deadline: now + 3000}
+	return &pool.Request{Repeatable: repeatable, MayRetry: repeatable, Began: now, Objective: 800, Deadline: now + 3000}
 }
 
-// take takes a lease, or fails the test.
-func (n *node) take(t *testing.T, a *pool.Ask) *pool.Lease {
+// mustAcquire returns a lease, or fails the test.
+func (n *node) mustAcquire(t *testing.T, a *pool.Request) *pool.Lease {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -79,7 +79,7 @@
 	return l
 }
 
-func newLone(t *testing.T, count, slots int) *node {
+func newSingleNode(t *testing.T, count, slots int) *node {
 	t.Helper()
 	n := newNode(clock.NewManual(1000), "n1")
 	n.SetTargets(targets(count, slots))
@@ -88,21 +88,21 @@
 
 func TestFailureSendsWorkElsewhereAndIsNews(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 2, 3)
-	l := n.take(t, n.ask(false))
+	n := newSingleNode(t, 2, 3)
+	l := n.mustAcquire(t, n.request(false))
 	bad := l.Target
 	l.Done(pool.Failed, false)
-	is.Equal(n.news[len(n.news)-1], pool.Evidence)
+	is.Equal(n.changes[len(n.changes)-1], pool.HealthEvidence)
 	is.Equal(n.events[0].Kind, pool.TargetAvoided)
 	for range 20 {
-		l := n.take(t, n.ask(false))
+		l := n.mustAcquire(t, n.request(false))
 		is.True(l.Target != bad)
 		l.Done(pool.Good, false)
 		n.clock.Advance(10)
 	}
 }
 
-// TestNewsOfAFailureReachesOthers has one node see a failure, and another choose.
+// TestNewsOfAFailureReachesOthers has one node observe a failure, and another choose.
 func TestNewsOfAFailureReachesOthers(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -110,17 +110,17 @@
 	n1.peers = []*node{n2}
 	n1.SetTargets(targets(2, 3))
 	n2.SetTargets(targets(2, 3))
-	l := n1.take(t, n1.ask(false))
+	l := n1.mustAcquire(t, n1.request(false))
 	l.Done(pool.Failed, false)
 	for range 10 {
-		other := n2.take(t, n2.ask(false))
+		other := n2.mustAcquire(t, n2.request(false))
 		is.True(other.Target != l.Target)
 		other.Done(pool.Good, false)
 	}
 	is.Equal(n2.events[0].By, ident.Node("n1"))
 }
 
-// TestNoConnectionBlamesTheLink keeps what one node cannot reach from the others' beliefs.
+// TestNoConnectionBlamesTheLink checks that what one node cannot reach does not change the others' beliefs.
 func TestNoConnectionBlamesTheLink(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -128,24 +128,24 @@
 	n1.peers = []*node{n2}
 	n1.SetTargets(targets(1, 3))
 	n2.SetTargets(targets(1, 3))
-	n1.take(t, n1.ask(false)).Done(pool.Unreachable, false)
-	_, err := n1.Acquire(context.Background(), n1.ask(false))
+	n1.mustAcquire(t, n1.request(false)).Done(pool.Unreachable, false)
+	_, err := n1.Acquire(context.Background(), n1.request(false))
 	is.True(errors.Is(err, pool.ErrNoTarget))
 	is.Equal(n2.Status()[0].Condition, pool.InUse)
 	c.Advance(5000)
-	n1.take(t, n1.ask(false)).Done(pool.Good, false) // it is tried again
+	n1.mustAcquire(t, n1.request(false)).Done(pool.Good, false) // it is tried again
 	is.Equal(n1.Status()[0].Condition, pool.InUse)
 }
 
 func TestHealedTargetComesBack(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 2, 3)
-	l := n.take(t, n.ask(true))
+	n := newSingleNode(t, 2, 3)
+	l := n.mustAcquire(t, n.request(true))
 	bad := l.Target
 	l.Done(pool.Failed, false)
 	tries, back := 0, clock.Millis(0)
 	for start := n.clock.Now(); back == 0 && n.clock.Now()-start < clock.Minute; n.clock.Advance(50) {
-		l := n.take(t, n.ask(true))
+		l := n.mustAcquire(t, n.request(true))
 		if l.Target == bad {
 			tries++
 			l.Done(pool.Good, false)
@@ -159,18 +159,18 @@
 	is.True(back < 3*clock.Second)
 }
 
-// TestWaitsForASoundTarget fills the only sound target: a request that runs once waits for it and
-// does not go to one that fails.
+// TestWaitsForASoundTarget fills the only healthy target: a run-once request waits for it and does not go to one
+// that fails.
 func TestWaitsForASoundTarget(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 2, 1)
-	l := n.take(t, n.ask(false))
+	n := newSingleNode(t, 2, 1)
+	l := n.mustAcquire(t, n.request(false))
 	l.Done(pool.Failed, false)
 	bad := l.Target
-	held := n.take(t, n.ask(false))
+	held := n.mustAcquire(t, n.request(false))
 	got := make(chan *pool.Lease)
 	go func() {
-		l, _ := n.Acquire(context.Background(), n.ask(false))
+		l, _ := n.Acquire(context.Background(), n.request(false))
 		got <- l
 	}()
 	for n.Stats().Waiting == 0 {
@@ -181,27 +181,27 @@
 	is.True(l.Target != bad)
 }
 
-// TestWaitsWhileSoundTargetsHaveNoRoom fills the only sound target, with its own queue, while another is
-// known to be failing. Requests wait for the sound one, also after they have waited for long.
+// TestWaitsWhileSoundTargetsHaveNoRoom fills the only healthy target and its own queue, while another target is
+// known to be failing. Requests wait for the healthy one, even after they have waited for long.
 func TestWaitsWhileSoundTargetsHaveNoRoom(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		t.Run(fmt.Sprint(repeatable), func(t *testing.T) {
 			is := is.New(t)
-			n := newLone(t, 2, 2)
-			bad := n.take(t, n.ask(false))
+			n := newSingleNode(t, 2, 2)
+			bad := n.mustAcquire(t, n.request(false))
 			bad.Done(pool.Failed, false)
 			for range 3 {
-				n.Hear(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(bad.Target), OkMs: -1, FailedMs: 1, Failed: 2}}})
+				n.ApplyReport(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(bad.Target), OkMs: -1, FailedMs: 1, Failed: 2}}})
 			}
 			other := ident.Target("a")
 			if bad.Target == other {
 				other = "b"
 			}
 			// Two run here, and two more wait there.
-			n.Hear(ident.Process{Node: "n3", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(other), OkMs: 1, FailedMs: -1, InFlight: 4}}})
+			n.ApplyReport(ident.Process{Node: "n3", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(other), OkMs: 1, FailedMs: -1, InFlight: 4}}})
 			got := make(chan *pool.Lease)
 			go func() {
-				a := n.ask(repeatable)
+				a := n.request(repeatable)
 				a.Deadline = a.Began + 60_000
 				l, _ := n.Acquire(context.Background(), a)
 				got <- l
@@ -209,9 +209,9 @@
 			select {
 			case l := <-got:
 				t.Fatalf("went to %s, which is failing with %.2f", l.Target, l.Failing)
-			case <-time.After(300 * time.Millisecond): // it is pressed by now
+			case <-time.After(300 * time.Millisecond): // by now it may overcommit
 			}
-			n.Hear(ident.Process{Node: "n3", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(other), OkMs: 1, FailedMs: -1}}})
+			n.ApplyReport(ident.Process{Node: "n3", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: string(other), OkMs: 1, FailedMs: -1}}})
 			is.Equal((<-got).Target, other)
 		})
 	}
@@ -219,9 +219,9 @@
 
 func TestRefusesWhatCannotEndInTime(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 1, 1)
-	n.take(t, n.ask(false))
-	a := n.ask(false)
+	n := newSingleNode(t, 1, 1)
+	n.mustAcquire(t, n.request(false))
+	a := n.request(false)
 	a.Deadline = n.clock.Now() + 100
 	_, err := n.Acquire(context.Background(), a)
 	var busy *pool.BusyError
@@ -231,13 +231,13 @@
 
 func TestMoreUrgentGoesFirst(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 1, 1)
-	held := n.take(t, n.ask(false))
+	n := newSingleNode(t, 1, 1)
+	held := n.mustAcquire(t, n.request(false))
 	order := make(chan uint32, 4)
 	for i, rank := range []uint32{2, 2, 0, 1} {
 		go func() {
-			a := n.ask(false)
-			a.Rank, a.Aim = rank, 60_000 // so that none is pressed into the target's own queue
+			a := n.request(false)
+			a.Priority, a.Objective = rank, 60_000 // so that none goes to the target's own queue
 			a.Deadline = n.clock.Now() + 60_000
 			if l, err := n.Acquire(context.Background(), a); err == nil {
 				order <- rank
@@ -254,12 +254,12 @@
 
 func TestJoinedTargetIsTriedSoon(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 2, 3)
+	n := newSingleNode(t, 2, 3)
 	list := targets(3, 3)
 	n.SetTargets(list)
 	joined := n.clock.Now()
 	for n.clock.Now()-joined < 4*clock.Second {
-		l := n.take(t, n.ask(false))
+		l := n.mustAcquire(t, n.request(false))
 		l.Done(pool.Good, false)
 		if l.Target == "c" {
 			is.True(n.clock.Now()-joined > pool.DefaultTuning.JoinWait)
@@ -271,19 +271,19 @@
 }
 
 func TestLeavingTargetsGetNoNewWork(t *testing.T) {
-	n := newLone(t, 3, 3)
+	n := newSingleNode(t, 3, 3)
 	list := targets(3, 3)
 	list[0].Leaving = true
 	n.SetTargets(list)
-	l := n.take(t, n.ask(false))
-	for l.Target != "b" { // b says itself that it is leaving
+	l := n.mustAcquire(t, n.request(false))
+	for l.Target != "b" { // b itself announces that it is leaving
 		l.Done(pool.Good, false)
 		n.clock.Advance(2000)
-		l = n.take(t, n.ask(true))
+		l = n.mustAcquire(t, n.request(true))
 	}
 	l.Done(pool.Replaced, false)
 	for range 50 {
-		l := n.take(t, n.ask(true))
+		l := n.mustAcquire(t, n.request(true))
 		if l.Target != "c" {
 			t.Fatalf("%s got work", l.Target)
 		}
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestClosingConnections takes a target for leaving that closes its connections again and again, and
-// not one that does so now and then.
+// TestClosingConnections checks that a target counts as leaving if it closes its connections again and again, and
+// not if it does so now and then.
 func TestClosingConnections(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
@@ -304,29 +304,29 @@
 		{[]bool{true, true, false}, false},
 		{[]bool{true, true, true}, true},
 	} {
-		n := newLone(t, 1, 3)
+		n := newSingleNode(t, 1, 3)
 		for _, closing := range c.closings {
-			n.take(t, n.ask(false)).Done(pool.Good, closing)
+			n.mustAcquire(t, n.request(false)).Done(pool.Good, closing)
 		}
 		is.Equal(n.Status()[0].Condition == pool.Leaving, c.leaves)
 	}
 }
 
-// TestPeersLoadCounts has another node fill a target; this one goes elsewhere until the other was
-// silent for long.
+// TestPeersLoadCounts has another node fill a target; this one goes elsewhere until the other has not reported for
+// long.
 func TestPeersLoadCounts(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 2, 2)
+	n := newSingleNode(t, 2, 2)
 	full := &tlv1.Report{Seen: []*tlv1.Seen{{Target: "a", InFlight: 2, OkMs: 1, FailedMs: -1}, {Target: "b", OkMs: 1, FailedMs: -1}}}
-	n.Hear(ident.Process{Node: "n2", Incarnation: 1}, full)
+	n.ApplyReport(ident.Process{Node: "n2", Incarnation: 1}, full)
 	for range 2 {
-		is.Equal(n.take(t, n.ask(false)).Target, ident.Target("b"))
+		is.Equal(n.mustAcquire(t, n.request(false)).Target, ident.Target("b"))
 	}
-	n.clock.Advance(pool.DefaultTuning.PeerAge + 1)
-	is.Equal(n.take(t, n.ask(false)).Target, ident.Target("a"))
+	n.clock.Advance(pool.DefaultTuning.PeerTTL + 1)
+	is.Equal(n.mustAcquire(t, n.request(false)).Target, ident.Target("a"))
 }
 
-// TestLongRequestsAreToldAgain keeps a load that does not change from being forgotten.
+// TestLongRequestsAreToldAgain checks that a load that does not change is reported again before it expires.
 func TestLongRequestsAreToldAgain(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
@@ -334,27 +334,27 @@
 	n1.peers = []*node{n2}
 	n1.SetTargets(targets(1, 2))
 	n2.SetTargets(targets(1, 2))
-	n1.take(t, n1.ask(false))
+	n1.mustAcquire(t, n1.request(false))
 	for range 10 {
-		c.Advance(pool.DefaultTuning.PeerAge / 2)
+		c.Advance(pool.DefaultTuning.PeerTTL / 2)
 		if r := n1.Report(false); r != nil {
-			n2.Hear(n1.name, r)
+			n2.ApplyReport(n1.name, r)
 		}
 		is.Equal(n2.Status()[0].InFlight, 1)
 	}
 }
 
-// TestNewcomerTakesOver brings all that one node knows to one that has just started.
-func TestNewcomerTakesOver(t *testing.T) {
+// TestNewNodeAdoptsAFullReport has a node that has just started apply the full report of another.
+func TestNewNodeAdoptsAFullReport(t *testing.T) {
 	is := is.New(t)
-	n1 := newLone(t, 2, 3)
-	l := n1.take(t, n1.ask(false))
+	n1 := newSingleNode(t, 2, 3)
+	l := n1.mustAcquire(t, n1.request(false))
 	l.Done(pool.Failed, false)
 	n2 := newNode(n1.clock, "n2")
 	n2.SetTargets(targets(2, 3))
-	n2.Hear(n1.name, n1.Report(true))
+	n2.ApplyReport(n1.name, n1.Report(true))
 	for range 5 {
-		other := n2.take(t, n2.ask(false))
+		other := n2.mustAcquire(t, n2.request(false))
 		is.True(other.Target != l.Target)
 		other.Done(pool.Good, false)
 	}
@@ -363,33 +363,33 @@
 func TestBudgetHoldsInAnyWindow(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
-	b := pool.NewBudget(c, 0.2, 3, 10*clock.Second)
+	b := pool.NewRetryBudget(c, 0.2, 3, 10*clock.Second)
 	allowed := 0
 	for range 10 {
-		if b.More() {
+		if b.Allow() {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 3)
 	for range 50 {
-		b.First()
+		b.AddRequest()
 	}
 	for range 20 {
-		if b.More() {
+		if b.Allow() {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 13)
 	c.Advance(10*clock.Second + 1)
-	is.True(b.More())
-	is.True(fmt.Sprint(b.Left()) == "2")
+	is.True(b.Allow())
+	is.True(fmt.Sprint(b.Remaining()) == "2")
 }
 
-// TestFloorKeepsCapacityInUse has targets fail one after the other. As long as the floor needs them,
-// they count as in use, the likeliest sound first.
+// TestFloorKeepsCapacityInUse has targets fail one after the other. As long as the floor needs them they count as
+// in use, those most likely to be healthy first.
 func TestFloorKeepsCapacityInUse(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 5, 3)
+	n := newSingleNode(t, 5, 3)
 	n.SetFloor(9)
 	inUse := func() (slots int) {
 		for _, s := range n.Status() {
@@ -400,7 +400,7 @@
 		return slots
 	}
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
-		n.Hear(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: id, OkMs: -1, FailedMs: 1, Failed: 1}}})
+		n.ApplyReport(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: id, OkMs: -1, FailedMs: 1, Failed: 1}}})
 		is.True(inUse() >= 9)
 		n.clock.Advance(100)
 	}
@@ -410,8 +410,8 @@
 	is.Equal(inUse(), 0)
 }
 
-// TestLargeAnswersStayNear has a near target that nothing is known of, and a far one that is sound. Small
-// answers come from far, large ones stay near.
+// TestLargeAnswersStayNear has an unknown target in this hall, and a healthy one in another. Small responses come
+// from the other hall, large ones from this one.
 func TestLargeAnswersStayNear(t *testing.T) {
 	for _, c := range []struct {
 		bytes float64
@@ -419,29 +419,29 @@
 	}{{400, "far"}, {90_000, "near"}} {
 		is := is.New(t)
 		n := newNode(clock.NewManual(1000), "n1")
-		n.SetTargets([]pool.Target{{ID: "near", Slots: 2, Near: true, Ours: true}, {ID: "far", Slots: 2}})
-		n.Hear(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: "far", OkMs: 1, FailedMs: -1}}})
-		a := n.ask(true)
+		n.SetTargets([]pool.Target{{ID: "near", Slots: 2, SameHall: true, Assigned: true}, {ID: "far", Slots: 2}})
+		n.ApplyReport(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: "far", OkMs: 1, FailedMs: -1}}})
+		a := n.request(true)
 		a.Bytes = c.bytes
-		is.Equal(n.take(t, a).Target, c.want)
+		is.Equal(n.mustAcquire(t, a).Target, c.want)
 	}
 }
 
 // TestTryAcquireDoesNotWait takes the only slot, and tries again.
 func TestTryAcquireDoesNotWait(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 1, 1)
-	l := n.TryAcquire(n.ask(true))
+	n := newSingleNode(t, 1, 1)
+	l := n.TryAcquire(n.request(true))
 	is.Equal(l.Target, ident.Target("a"))
-	is.True(n.TryAcquire(n.ask(true)) == nil)
+	is.True(n.TryAcquire(n.request(true)) == nil)
 	l.Done(pool.Good, false)
-	is.True(n.TryAcquire(n.ask(true)) != nil)
-	a := n.ask(true)
-	a.Not = []ident.Target{"a"}
+	is.True(n.TryAcquire(n.request(true)) != nil)
+	a := n.request(true)
+	a.Exclude = []ident.Target{"a"}
 	is.True(n.TryAcquire(a) == nil)
 }
 
-// TestEachMechanismCanBeSwitchedOff changes the tuning for each name, and none for an unknown one.
+// TestEachMechanismCanBeSwitchedOff checks that each name changes the tuning, and that an unknown one is an error.
 func TestEachMechanismCanBeSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	for _, name := range pool.Mechanisms() {
@@ -453,15 +453,15 @@
 	is.True(err != nil)
 }
 
-// TestSilenceSaysMuch has one of two targets run out of time twice. It is avoided from then on.
-func TestSilenceSaysMuch(t *testing.T) {
+// TestTimeoutIsStrongEvidence has a request time out at one of two targets. The target is avoided from then on.
+func TestTimeoutIsStrongEvidence(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 2, 3)
-	l := n.take(t, n.ask(false))
+	n := newSingleNode(t, 2, 3)
+	l := n.mustAcquire(t, n.request(false))
 	silent := l.Target
 	l.Done(pool.Late, false)
 	for range 20 {
-		l := n.take(t, n.ask(false))
+		l := n.mustAcquire(t, n.request(false))
 		is.True(l.Target != silent)
 		l.Done(pool.Good, false)
 		n.clock.Advance(10)
@@ -469,19 +469,19 @@
 }
 
 // TestWaitAtATargetIsNotItsServiceTime has requests wait behind others at a target, so that they take half as long
-// again as they are worked on. What is learned of its service time leaves the wait out, so that requests are not
-// refused too soon.
+// again as their service time. The service time learned leaves the wait out, so that requests are not refused too
+// soon.
 func TestWaitAtATargetIsNotItsServiceTime(t *testing.T) {
 	is := is.New(t)
-	n := newLone(t, 1, 2)
+	n := newSingleNode(t, 1, 2)
 	for range 60 {
-		n.Hear(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: "a", OkMs: 1, FailedMs: -1, InFlight: 2}}})
-		a := n.ask(false)
-		a.Aim = 10 // it is given to the target's own queue at once
-		l := n.take(t, a)
+		n.ApplyReport(ident.Process{Node: "n2", Incarnation: 1}, &tlv1.Report{Seen: []*tlv1.Seen{{Target: "a", OkMs: 1, FailedMs: -1, InFlight: 2}}})
+		a := n.request(false)
+		a.Objective = 10 // it is given to the target's own queue at once
+		l := n.mustAcquire(t, a)
 		is.Equal(l.InFlight, 3)
 		n.clock.Advance(150)
 		l.Done(pool.Good, false)
 	}
-	is.True(n.Usual() >= 95 && n.Usual() <= 110)
+	is.True(n.ServiceTime() >= 95 && n.ServiceTime() <= 110)
 }
--- a/pool/tally.go
+++ b/pool/tally.go
@@ -28,8 +28,8 @@
 	return &window{part: max(span/windowParts, 1)}
 }
 
-// turn moves the window on to now.
-func (w *window) turn(now clock.Millis) {
+// advance moves the window on to now.
+func (w *window) advance(now clock.Millis) {
 	n := now / w.part
 	for i := max(w.last+1, n-windowParts+1); i <= n; i++ {
 		w.parts[i%windowParts] = tally{}
@@ -37,8 +37,8 @@
 	w.last = max(w.last, n)
 }
 
-func (w *window) count(now clock.Millis, e End) {
-	w.turn(now)
+func (w *window) count(now clock.Millis, e Result) {
+	w.advance(now)
 	t := &w.parts[w.last%windowParts]
 	t.asked++
 	if e == TimedOut || e == Unserved {
@@ -50,44 +50,44 @@
 }
 
 func (w *window) sum(now clock.Millis) (s tally) {
-	w.turn(now)
+	w.advance(now)
 	for _, t := range w.parts {
 		s.add(t)
 	}
 	return s
 }
 
-// An End says how a request ended.
-type End int
+// An Result says how a request ended.
+type Result int
 
 // Ends of requests.
 const (
 	// Served requests got a good answer, or lost their caller.
-	Served End = iota
+	Served Result = iota
 	// TimedOut requests ran out of time at a target.
 	TimedOut
-	// Tried requests failed at a target that was tried to spread work. They are no sign of trouble: if they were,
+	// TrialFailed requests failed at a target that was tried to spread work. They are no sign of trouble: if they were,
 	// trials would ask for more trials.
-	Tried
+	TrialFailed
 	// Unserved requests failed otherwise, or were refused.
 	Unserved
 )
 
-// Ended tells how a request ended.
-func (p *Pool) Ended(e End) {
+// RecordResult tells how a request ended.
+func (p *Pool) RecordResult(e Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ended.count(p.clock.Now(), e)
 }
 
-// lately counts the requests of late, over the nodes that are heard.
-func (p *Pool) lately(now clock.Millis) tally {
+// recentTotals counts the requests of late, over the nodes that are heard.
+func (p *Pool) recentTotals(now clock.Millis) tally {
 	s := p.ended.sum(now)
-	for from, o := range p.peerEnded {
-		if now-o.at <= p.tuning.PeerAge {
+	for from, o := range p.peerTallies {
+		if now-o.at <= p.tuning.PeerTTL {
 			s.add(o.tally)
 		} else {
-			delete(p.peerEnded, from)
+			delete(p.peerTallies, from)
 		}
 	}
 	return s
