--- a/pool/queue.go
+++ b/pool/queue.go
@@ -12,7 +12,7 @@
 const minRetryAfter clock.Millis = 100
 
 type waiter struct {
-	request     *Request
+	request *Request
 	granted chan grant
 	element *list.Element
 	// mayOvercommit waiters may be given to a target's own queue.
