--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -50,7 +50,7 @@
 	Hall    string
 
 	mu     sync.Mutex
-	answer node.Answer
+	answer node.Endpoints
 	until  time.Time
 	client *http.Client
 }
@@ -71,7 +71,7 @@
 }
 
 // Ask returns the fleet's answer, from memory while it is valid.
-func (c *Caller) Ask(ctx context.Context) (node.Answer, error) {
+func (c *Caller) Ask(ctx context.Context) (node.Endpoints, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().Before(c.until) {
@@ -80,14 +80,14 @@
 	var err error
 	for _, e := range c.doors() {
 		asked := time.Now()
-		var a node.Answer
+		var a node.Endpoints
 		if a, err = c.askAt(ctx, e); err == nil {
 			c.answer = a
 			c.until = asked.Add(time.Duration(a.ValidMs) * time.Millisecond)
 			return a, nil
 		}
 	}
-	return node.Answer{}, errors.Wrap(err, "ask")
+	return node.Endpoints{}, errors.Wrap(err, "ask")
 }
 
 // doors are the last answer's addresses, and then those to ask at first.
@@ -99,10 +99,10 @@
 	return append(list, c.Entries...)
 }
 
-func (c *Caller) askAt(ctx context.Context, door string) (a node.Answer, err error) {
+func (c *Caller) askAt(ctx context.Context, door string) (a node.Endpoints, err error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	url := fmt.Sprintf("http://%s%s?service=%s&hall=%s", door, node.AskPath, c.Service, c.Hall)
+	url := fmt.Sprintf("http://%s%s?service=%s&hall=%s", door, node.DiscoveryPath, c.Service, c.Hall)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return a, err
--- a/node/answer.go
+++ b/node/answer.go
@@ -157,7 +157,7 @@
 // tell answers the caller with a problem, at once.
 func (x *exchange) tell(p Problem, c cause, err error) {
 	x.w.Header().Set(x.headers.RequestID, x.id)
-	p.fractions = x.headers.FractionalRetryAfter
+	p.fractionalSeconds = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	p.Write(x.w)
 	x.node.events.failed(x.service.name, p.Outcome)
@@ -204,7 +204,7 @@
 	defer cancel()
 	a, err := x.node.conns.Send(ctx, address, x.request(h))
 	if err != nil {
-		p := Problem{Status: http.StatusBadGateway, Outcome: Unknown, RetryAfter: passPause, Detail: "the key's home did not answer"}
+		p := Problem{Status: http.StatusBadGateway, Outcome: Unknown, RetryAfter: passRetryAfter, Detail: "the key's home did not answer"}
 		x.tell(p, causeNoAnswer, err)
 		return
 	}
--- a/node/ask.go
+++ b/node/ask.go
@@ -12,40 +12,40 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// AskPath is where callers of the fleet's own interface ask which addresses to use.
-const AskPath = "/.tinladder/ask"
+// DiscoveryPath is where callers of the fleet's own interface ask which addresses to use.
+const DiscoveryPath = "/.tinladder/ask"
 
 const (
-	// validFor is how long callers may keep an answer.
-	validFor = 2 * clock.Second
-	// fewAddresses is the least addresses in an answer, so that a caller has somewhere else to go.
-	fewAddresses = 2
+	// maxAddressTTL is how long callers may keep an answer.
+	maxAddressTTL = 2 * clock.Second
+	// minAddresses is the least addresses in an answer, so that a caller has somewhere else to go.
+	minAddresses = 2
 )
 
-// An Answer struct is what callers of the fleet's own interface are told.
-type Answer struct {
+// An Endpoints struct is what callers of the fleet's own interface are told.
+type Endpoints struct {
 	Service string `json:"service"`
 	// Addresses are callers' doors, best first.
-	Addresses []Address `json:"addresses"`
+	Addresses []Endpoint `json:"addresses"`
 	// ValidMs is how long the answer may be kept.
 	ValidMs int64 `json:"valid_ms"`
 	// KeyPrefix begins the keys of run-once requests. Keys are best sent to the first address.
 	KeyPrefix string `json:"key_prefix"`
 }
 
-// An Address struct is one callers' door.
-type Address struct {
+// An Endpoint struct is one callers' door.
+type Endpoint struct {
 	Address string `json:"address"`
 	Hall    string `json:"hall"`
 }
 
-// valid is how long callers may keep an answer.
-func (n *Node) valid() clock.Millis {
-	return min(validFor, n.settings().Bounds.Valid.Millis())
+// addressTTL is how long callers may keep an answer.
+func (n *Node) addressTTL() clock.Millis {
+	return min(maxAddressTTL, n.settings().Bounds.Valid.Millis())
 }
 
-// ask answers a caller of the fleet's own interface.
-func (n *Node) ask(w http.ResponseWriter, r *http.Request) {
+// serveDiscovery answers a caller of the fleet's own interface.
+func (n *Node) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	token := r.Header.Get(HeaderToken)
 	ws, valid := workspaceOf(token)
 	book := n.records.book.Load()
@@ -62,13 +62,13 @@
 		Problem{Status: http.StatusNotFound, Outcome: NotRun, Detail: "no such service"}.Write(w)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(n.answerFor(service, ident.Hall(r.URL.Query().Get("hall"))))
+		_ = json.NewEncoder(w).Encode(n.endpointsFor(service, ident.Hall(r.URL.Query().Get("hall"))))
 	}
 }
 
-// answerFor lists this node first, since the key prefix is its own.
-func (n *Node) answerFor(s ident.Service, hall ident.Hall) Answer {
-	a := Answer{Service: s.String(), ValidMs: int64(n.valid()), KeyPrefix: n.ledger.Prefix()}
+// endpointsFor lists this node first, since the key prefix is its own.
+func (n *Node) endpointsFor(s ident.Service, hall ident.Hall) Endpoints {
+	a := Endpoints{Service: s.String(), ValidMs: int64(n.addressTTL()), KeyPrefix: n.ledger.Prefix()}
 	self := n.members.Self()
 	list := []*tlv1.Member{self}
 	for _, m := range n.nodesFor(desired.Group(s.String()), hall, nil) {
@@ -77,19 +77,19 @@
 		}
 	}
 	for _, m := range list {
-		a.Addresses = append(a.Addresses, Address{Address: m.GetCallerAddress(), Hall: m.GetHall()})
+		a.Addresses = append(a.Addresses, Endpoint{Address: m.GetCallerAddress(), Hall: m.GetHall()})
 	}
 	return a
 }
 
-// directoryDoor tells callers on the users' platform which addresses to use.
-func (n *Node) directoryDoor() http.Handler {
+// directoryHandler tells callers on the users' platform which addresses to use.
+func (n *Node) directoryHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != n.platform.Speech.ResolvePath || r.Method != http.MethodGet {
 			http.NotFound(w, r)
 			return
 		}
-		if n.runsOut() {
+		if n.accessExpiring() {
 			w.WriteHeader(http.StatusServiceUnavailable) // another node knows which ones can serve
 			return
 		}
@@ -102,7 +102,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		n.platform.Speech.WriteAddresses(w, addresses, n.valid())
+		n.platform.Speech.WriteAddresses(w, addresses, n.addressTTL())
 	})
 }
 
@@ -121,9 +121,9 @@
 	halls := slices.DeleteFunc(n.carriers.halls(), func(h ident.Hall) bool { return h == hall })
 	rand.Shuffle(len(halls), func(i, j int) { halls[i], halls[j] = halls[j], halls[i] })
 	good, others := n.byDistance(halls, n.settings().RegionOf(hall), homes)
-	list := n.carriers.membersIn(group, good, fewAddresses, n.carriers.inHall(group, hall))
+	list := n.carriers.membersIn(group, good, minAddresses, n.carriers.inHall(group, hall))
 	if homes == nil || len(list) == 0 {
-		list = n.carriers.membersIn(group, others, fewAddresses, list)
+		list = n.carriers.membersIn(group, others, minAddresses, list)
 	}
 	return list
 }
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -137,7 +137,7 @@
 }
 
 func aboutToEnd(o Outcome) *Problem {
-	return &Problem{Status: http.StatusServiceUnavailable, Outcome: o, RetryAfter: minLeavePause, Detail: "this node is about to end; ask another one"}
+	return &Problem{Status: http.StatusServiceUnavailable, Outcome: o, RetryAfter: leavingRetryAfter, Detail: "this node is about to end; ask another one"}
 }
 
 // callerLeft says whether nobody waits for the answer. A node that ends stops reading, which looks the same from here.
--- a/node/front.go
+++ b/node/front.go
@@ -12,17 +12,17 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// notReadyPause is what callers are told when this node knows no desired state.
-const notReadyPause clock.Millis = 500
+// notReadyRetryAfter is what callers are told when this node knows no desired state.
+const notReadyRetryAfter clock.Millis = 500
 
-// minLeavePause is what callers of a node that is about to end are told: another one takes them at once.
-const minLeavePause clock.Millis = 100
+// leavingRetryAfter is what callers of a node that is about to end are told: another one takes them at once.
+const leavingRetryAfter clock.Millis = 100
 
-// otherRoute is what callers are told whose path a target may read as one of another route.
-const otherRoute = "the path leads to another route once it is decoded and its dots are resolved"
+// ambiguousRoute is what callers are told whose path a target may read as one of another route.
+const ambiguousRoute = "the path leads to another route once it is decoded and its dots are resolved"
 
-// ownPaths is where the fleet's own interface is asked.
-const ownPaths = "/.tinladder/"
+// ownPathPrefix is where the fleet's own interface is asked.
+const ownPathPrefix = "/.tinladder/"
 
 // serve serves a caller, of the users' platform or of the fleet's own interface.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
@@ -30,18 +30,18 @@
 	defer n.leaving.exit()
 	r.Header.Del(HeaderPassed)
 	r.Header.Del(HeaderCaller)
-	if no := reading.CheckTarget(r); no != nil {
-		if no.Close {
+	if rejection := reading.CheckTarget(r); rejection != nil {
+		if rejection.Close {
 			w.Header().Set("Connection", "close")
 		}
-		n.refuse(w, r, Problem{Status: no.Status, Outcome: blank(r), Detail: no.Reason})
+		n.refuse(w, r, Problem{Status: rejection.Status, Outcome: rejectedOutcome(r), Detail: rejection.Reason})
 		return
 	}
 	r.RequestURI = reading.OriginForm(r)
 	switch {
-	case r.URL.Path == AskPath && r.Method == http.MethodGet:
-		n.ask(w, r)
-	case r.Header.Get(HeaderToken) != "", strings.HasPrefix(r.URL.Path, ownPaths):
+	case r.URL.Path == DiscoveryPath && r.Method == http.MethodGet:
+		n.serveDiscovery(w, r)
+	case r.Header.Get(HeaderToken) != "", strings.HasPrefix(r.URL.Path, ownPathPrefix):
 		n.serveOwn(w, r, "")
 	default:
 		n.servePlatform(w, r)
@@ -50,10 +50,10 @@
 
 // servePlatform serves a caller of the users' platform, by host and path.
 func (n *Node) servePlatform(w http.ResponseWriter, r *http.Request) {
-	asked := n.clock.Now() // no later than what is taken of a limit: what is given back then is never more
+	start := n.clock.Now() // no later than what is taken of a limit: what is given back then is never more
 	x, problem := n.platformExchange(w, r)
 	if problem != nil {
-		problem.fractions = n.platform.Speech.Headers.FractionalRetryAfter
+		problem.fractionalSeconds = n.platform.Speech.Headers.FractionalRetryAfter
 		n.refuse(w, r, *problem)
 		return
 	}
@@ -61,56 +61,56 @@
 		x.serve(noTicket{})
 		return
 	}
-	x.serve(limitTicket{table: n.quotas.table, workspace: x.workspace.Name, at: asked})
+	x.serve(limitTicket{table: n.quotas.table, workspace: x.workspace.Name, at: start})
 }
 
 // platformExchange returns the exchange for a request that may go to a target, or why it may not.
 func (n *Node) platformExchange(w http.ResponseWriter, r *http.Request) (*exchange, *Problem) {
 	t := n.records.await(r)
 	if t == nil {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyPause, Detail: n.records.missing()}
+		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyRetryAfter, Detail: n.records.missing()}
 	}
 	route, problem := routeFor(t, r)
-	if problem != nil && problem.Status == http.StatusNotFound && n.mayBeBehind(t) {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: jitter(provePause), Detail: "no route in the desired state known here, and a newer one may be in force"}
+	if problem != nil && problem.Status == http.StatusNotFound && n.mayBeOutdated(t) {
+		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: jitter(unverifiedRetryAfter), Detail: "no route in the desired state known here, and a newer one may be in force"}
 	}
 	if problem != nil {
 		return nil, problem
 	}
-	space, problem := n.admit(t, route, r)
+	workspace, problem := n.authenticate(t, route, r)
 	if problem != nil {
 		return nil, problem
 	}
-	if problem := bound(t.Limits, r); problem != nil {
+	if problem := checkSizes(t.Limits, r); problem != nil {
 		return nil, problem
 	}
 	x := newExchange(n, w, r, route, n.platform.Speech.Headers)
 	x.keyed = t.Access != nil
-	x.halls = n.hallsFor(route, space)
-	if problem := x.late(NotRun); problem != nil || space == nil {
+	x.halls = n.hallsFor(route, workspace)
+	if problem := x.late(NotRun); problem != nil || workspace == nil {
 		return x, problem
 	}
-	if problem := n.within(space, r); problem != nil {
-		problem.workspace, problem.limit = space.Name, space.Rate.PerSecond
+	if problem := n.checkLimit(workspace, r); problem != nil {
+		problem.workspace, problem.limit = workspace.Name, workspace.Rate.PerSecond
 		return nil, problem
 	}
-	x.workspace, x.space = space, string(space.Name)
+	x.workspace, x.space = workspace, string(workspace.Name)
 	return x, nil
 }
 
-// lacksNewer says whether there is a newer desired state than this one: another node is known to hold one, or it came as
+// isOutdated says whether there is a newer desired state than this one: another node is known to hold one, or it came as
 // the request was looked at.
-func (n *Node) lacksNewer(t *desired.Table) bool {
+func (n *Node) isOutdated(t *desired.Table) bool {
 	return n.lag.lacks(store.State) || n.records.table.Load() != t
 }
 
-// mayBeBehind says whether a newer desired state than this one may have to be in force here: there is one, or word that
+// mayBeOutdated says whether a newer desired state than this one may have to be in force here: there is one, or word that
 // the store held none is older than the platform allows. That word's age is told, and grows younger while it waits in the
 // buffers of a node that is busy, so the store's own clock bounds it too, where that shows: by the wait of a watcher's
 // question more, since an answer may show the reading of when the question came. Without this a node refuses with 404
 // what a state allows that it should have had seconds before.
-func (n *Node) mayBeBehind(t *desired.Table) bool {
-	if n.lacksNewer(t) {
+func (n *Node) mayBeOutdated(t *desired.Table) bool {
+	if n.isOutdated(t) {
 		return true
 	}
 	bound := n.settings().Bounds.Apply.Millis()
@@ -126,16 +126,16 @@
 		return nil, &Problem{Status: http.StatusNotFound, Detail: "no route"}
 	}
 	if p := reading.NormalizePath(r.RequestURI); p != path && t.Find(r.Host, p) != route {
-		return nil, &Problem{Status: http.StatusBadRequest, Detail: otherRoute}
+		return nil, &Problem{Status: http.StatusBadRequest, Detail: ambiguousRoute}
 	}
 	if route.Fault != "" {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyPause, Detail: "the route cannot be used: " + route.Fault}
+		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyRetryAfter, Detail: "the route cannot be used: " + route.Fault}
 	}
 	return route, nil
 }
 
-// bound holds the request to the desired state's limits on sizes.
-func bound(l desired.Limits, r *http.Request) *Problem {
+// checkSizes holds the request to the desired state's limits on sizes.
+func checkSizes(l desired.Limits, r *http.Request) *Problem {
 	if l.HeaderBytes > 0 && headerBytes(r) > l.HeaderBytes {
 		return &Problem{Status: http.StatusRequestHeaderFieldsTooLarge, Detail: "the header is too large"}
 	}
@@ -198,14 +198,14 @@
 	return 0
 }
 
-// readinessDoor tells the platform whether callers may be sent here.
-func (n *Node) readinessDoor() http.Handler {
+// readinessHandler tells the platform whether callers may be sent here.
+func (n *Node) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != n.platform.Speech.ReadyPath {
 			http.NotFound(w, r)
 			return
 		}
-		if reason := n.unready(); reason != "" {
+		if reason := n.notReadyReason(); reason != "" {
 			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
@@ -213,14 +213,14 @@
 	})
 }
 
-// unready says why callers may not be sent here, or nothing.
-func (n *Node) unready() string {
+// notReadyReason says why callers may not be sent here, or nothing.
+func (n *Node) notReadyReason() string {
 	switch {
 	case n.leaving.started():
 		return "leaving"
 	case n.members.Superseded():
 		return "a later process runs in this node's place"
-	case n.runsOut():
+	case n.accessExpiring():
 		return "no word of the store on the keys that hold"
 	case n.records.table.Load() == nil && n.settings().Node.Operators == "":
 		return n.records.missing()
--- a/node/heldback.go
+++ b/node/heldback.go
@@ -59,7 +59,7 @@
 	t.Void()
 	x.node.metrics.heldBack()
 	x.w.Header().Set(x.headers.RequestID, x.id)
-	p.fractions = x.headers.FractionalRetryAfter
+	p.fractionalSeconds = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	x.node.refuse(x.w, x.r, *p)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -189,8 +189,8 @@
 	}{
 		{callersDoor, s.Callers, n.callersServer(), n.callersRest},
 		{peersDoor, s.Peers, &http.Server{Handler: n.peersDoor()}, nil},
-		{"readiness", s.Readiness, &http.Server{Handler: n.readinessDoor()}, nil},
-		{"directory", s.Directory, &http.Server{Handler: n.directoryDoor()}, nil},
+		{"readiness", s.Readiness, &http.Server{Handler: n.readinessHandler()}, nil},
+		{"directory", s.Directory, &http.Server{Handler: n.directoryHandler()}, nil},
 		{"operators", s.Operators, &http.Server{Handler: n.operatorsDoor()}, nil},
 		{"metrics", s.Metrics, &http.Server{Handler: http.HandlerFunc(n.metrics.write)}, nil},
 	} {
--- a/node/operators.go
+++ b/node/operators.go
@@ -58,7 +58,7 @@
 
 // ready says whether callers may be sent here.
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
-	if reason := n.unready(); reason != "" {
+	if reason := n.notReadyReason(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
--- a/node/own.go
+++ b/node/own.go
@@ -16,8 +16,8 @@
 // passToHome requests are to be decided by their key's home.
 const passToHome = "home"
 
-// passPause is what callers are told when nothing better is known.
-const passPause = 1 * clock.Second
+// passRetryAfter is what callers are told when nothing better is known.
+const passRetryAfter = 1 * clock.Second
 
 // serveForPeer serves requests that another node passes on.
 func (n *Node) serveForPeer(w http.ResponseWriter, r *http.Request) {
@@ -26,9 +26,9 @@
 	n.serveOwn(w, r, r.Header.Get(HeaderPassed))
 }
 
-// blank is the outcome of a request that this node did nothing with. If the request has a key, it
+// rejectedOutcome is the outcome of a request that this node did nothing with. If the request has a key, it
 // may have run elsewhere before.
-func blank(r *http.Request) Outcome {
+func rejectedOutcome(r *http.Request) Outcome {
 	if r.Header.Get(HeaderKey) != "" {
 		return Unknown
 	}
@@ -42,9 +42,9 @@
 	space := n.records.book.Load().workspaces[ws]
 	name, named := serviceNamed(r.Header.Get(HeaderService), ws)
 	var route *ownRoute
-	twice := false
+	ambiguous := false
 	if space != nil && named {
-		route, twice = space.route(r, name)
+		route, ambiguous = space.route(r, name)
 	}
 	if p := n.checkOwn(r); p != nil {
 		n.refuse(w, r, *p)
@@ -52,14 +52,14 @@
 	}
 	switch {
 	case !valid || space == nil || !tokenIn(space.doc.GetCallerTokenSha256(), token):
-		n.refuse(w, r, Problem{Status: http.StatusUnauthorized, Outcome: blank(r), Detail: "token is missing or not valid"})
+		n.refuse(w, r, Problem{Status: http.StatusUnauthorized, Outcome: rejectedOutcome(r), Detail: "token is missing or not valid"})
 	case route == nil:
-		n.refuse(w, r, Problem{Status: http.StatusNotFound, Outcome: blank(r), Detail: "no such service or route"})
-	case twice:
-		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Outcome: blank(r), Detail: otherRoute})
+		n.refuse(w, r, Problem{Status: http.StatusNotFound, Outcome: rejectedOutcome(r), Detail: "no such service or route"})
+	case ambiguous:
+		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Outcome: rejectedOutcome(r), Detail: ambiguousRoute})
 	case !n.limiter.enter(ws, space.concurrency()):
 		n.refuse(w, r, Problem{
-			Status: http.StatusTooManyRequests, Outcome: blank(r), RetryAfter: passPause,
+			Status: http.StatusTooManyRequests, Outcome: rejectedOutcome(r), RetryAfter: passRetryAfter,
 			Detail: "the workspace has its share of this node in use",
 		})
 	default:
@@ -70,15 +70,15 @@
 
 // checkOwn returns a problem with requests that no node would serve.
 func (n *Node) checkOwn(r *http.Request) *Problem {
-	p := &Problem{Outcome: blank(r)}
+	p := &Problem{Outcome: rejectedOutcome(r)}
 	limit := n.settings().Limits.BodyBytes
 	switch {
 	case n.members.Superseded():
-		p.Status, p.Detail, p.RetryAfter = http.StatusServiceUnavailable, "a later process runs in this node's place", passPause
+		p.Status, p.Detail, p.RetryAfter = http.StatusServiceUnavailable, "a later process runs in this node's place", passRetryAfter
 	case strings.Join(r.Header["Upgrade"], "") != "" || r.Method == http.MethodConnect:
 		p.Status, p.Detail = http.StatusNotImplemented, "connections cannot be upgraded"
-	case several(r.Header) != "":
-		p.Status, p.Detail = http.StatusBadRequest, several(r.Header)+" stands there more than once"
+	case repeatedHeader(r.Header) != "":
+		p.Status, p.Detail = http.StatusBadRequest, repeatedHeader(r.Header)+" stands there more than once"
 	case r.ContentLength > limit:
 		p.Status, p.Detail = http.StatusRequestEntityTooLarge, "body is larger than this node allows"
 	case !deadlineValid(r.Header.Get(HeaderDeadline)):
@@ -94,9 +94,9 @@
 	return s == "" || err == nil && n > 0
 }
 
-// several returns a header of the fleet's own interface that has several values; nothing if there is none. Whoever reads
+// repeatedHeader returns a header of the fleet's own interface that has repeatedHeader values; nothing if there is none. Whoever reads
 // the request besides could go by another one of them.
-func several(h http.Header) string {
+func repeatedHeader(h http.Header) string {
 	for _, name := range ownRequest {
 		if len(h[name]) > 1 {
 			return name
@@ -109,7 +109,7 @@
 	r.Body = http.MaxBytesReader(nil, r.Body, n.settings().Limits.BodyBytes)
 	x := newExchange(n, w, r, route.Route, ownHeaders)
 	x.space = route.service.String()
-	if p := x.late(blank(r)); p != nil {
+	if p := x.late(rejectedOutcome(r)); p != nil {
 		n.refuse(w, r, *p)
 		return
 	}
@@ -127,12 +127,12 @@
 		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Detail: err.Error()})
 		return
 	}
-	n.decideOnce(x, route, key, passed)
+	n.serveOnce(x, route, key, passed)
 }
 
-// decideOnce runs a run-once request if its key has not run, or tells what became of it.
-func (n *Node) decideOnce(x *exchange, route *ownRoute, key once.Key, passed string) {
-	p := Problem{Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passPause}
+// serveOnce runs a run-once request if its key has not run, or tells what became of it.
+func (n *Node) serveOnce(x *exchange, route *ownRoute, key once.Key, passed string) {
+	p := Problem{Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passRetryAfter}
 	switch d := n.ledger.Begin(route.service.Workspace, key, fingerprint(x.r)).(type) {
 	case once.Run:
 		x.serve(d.Ticket)
@@ -144,7 +144,7 @@
 		n.passHome(x, d.Home, passed)
 		return
 	case once.NotRun:
-		p = Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: d.Reason, RetryAfter: passPause}
+		p = Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: d.Reason, RetryAfter: passRetryAfter}
 	case once.Unknown:
 		p.Detail = d.Reason
 	case once.Mismatch:
@@ -177,8 +177,8 @@
 	x.answer(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
 }
 
-// homeDoor returns the process's door for peers, if the process is known to live.
-func (n *Node) homeDoor(p ident.Process) (string, bool) {
+// homeAddress returns the process's door for peers, if the process is known to live.
+func (n *Node) homeAddress(p ident.Process) (string, bool) {
 	for _, m := range n.members.Live() {
 		if member.ProcessOf(m) == p {
 			return m.GetPeerAddress(), true
@@ -189,10 +189,10 @@
 
 // passHome passes a request on to the only process that may run its key, once.
 func (n *Node) passHome(x *exchange, home ident.Process, passed string) {
-	address, live := n.homeDoor(home)
+	address, live := n.homeAddress(home)
 	if passed != "" || !live {
 		n.refuse(x.w, x.r, Problem{
-			Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passPause,
+			Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passRetryAfter,
 			Detail: "the node that the key belongs to cannot be reached, and no other may run it",
 		})
 		return
--- a/node/problem.go
+++ b/node/problem.go
@@ -36,8 +36,8 @@
 	limit     float64
 	// fingerprint names a request that is held back, for the log.
 	fingerprint string
-	// fractions says that the caller reads fractions of seconds.
-	fractions bool
+	// fractionalSeconds says that the caller reads fractionalSeconds of seconds.
+	fractionalSeconds bool
 }
 
 // Write sends the problem as the whole answer. RFC 9110 has whole seconds in Retry-After, and common clients
@@ -58,7 +58,7 @@
 // retryAfter is the time to come back in seconds, whole ones if the caller reads no others.
 func (p Problem) retryAfter() string {
 	seconds := p.RetryAfter.Duration().Seconds()
-	if !p.fractions {
+	if !p.fractionalSeconds {
 		seconds = math.Ceil(seconds)
 	}
 	return strconv.FormatFloat(seconds, 'f', -1, 64)
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -41,7 +41,7 @@
 type quotas struct {
 	node  *Node
 	table *limit.Table
-	known peak
+	known recentMax
 	// metAll says that this process has heard all of the nodes that its settings name at the same time.
 	metAll atomic.Bool
 	// deals says that this node heard enough others to know its part when last looked.
@@ -58,7 +58,7 @@
 func newQuotas(n *Node) *quotas {
 	w := n.settings().Workspaces
 	b := limit.Bounds{Window: w.Window.Millis(), Overshoot: w.Overshoot, Slack: w.Slack}
-	return &quotas{node: n, table: limit.New(n.clock, b), known: peak{keep: limitKnownFor}, came: make(chan struct{})}
+	return &quotas{node: n, table: limit.New(n.clock, b), known: recentMax{window: limitPeakNodesWindow}, came: make(chan struct{})}
 }
 
 // tick follows who shares the limits.
@@ -85,7 +85,7 @@
 	v := limit.View{
 		Seeds: named, SeedsReached: met,
 		Sharers: nodesOf(sharing), IsSharer: n.isAmong(sharing),
-		SharerCount: len(sharing), Live: live, PeakLive: q.known.see(live, now),
+		SharerCount: len(sharing), Live: live, PeakLive: q.known.observe(live, now),
 		Isolated: n.peers.lonely() && now-n.duty.since < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
 	}
 	if v.ReachedAllSeeds() {
--- a/node/services.go
+++ b/node/services.go
@@ -85,7 +85,7 @@
 	// turns are this node's places among those that try targets.
 	turns *turns
 	// most is how many nodes there were of late.
-	most peak
+	most recentMax
 	// lines bounds how many changes of belief by others' word the log is told of one by one.
 	lines *logs.Limiter
 }
@@ -94,7 +94,7 @@
 const toldBeliefs = 16
 
 func newServices(n *Node) *services {
-	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), lines: logs.NewLimiter(n.clock, toldBeliefs)}
+	return &services{node: n, byName: map[string]*service{}, most: recentMax{window: peakNodesWindow}, turns: newTurns(n.self.Node), lines: logs.NewLimiter(n.clock, toldBeliefs)}
 }
 
 // get returns the service that a request is for, making it if there is none, with its targets.
@@ -139,7 +139,7 @@
 	n := s.node
 	r := n.settings().Retries
 	svc := &service{name: name, users: map[ident.Process]use{}, paces: map[string]*pace{}, sharers: assign.NewSharers()}
-	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slack(svc, true), r.Window.Millis())
+	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slackShare(svc, true), r.Window.Millis())
 	svc.pool = pool.New(n.tuning, n.clock, newRand(), b, func(w pool.ChangeKind, of ident.Hall) { s.report(svc, w, of) },
 		func(e pool.Event) { s.note(svc, e) })
 	s.byName[name] = svc
@@ -479,7 +479,7 @@
 	s.tellSums()
 	s.tellIdle()
 	s.wake()
-	s.deal()
+	s.distributeSlack()
 	switch {
 	case changed:
 		if s.relaid() {
--- a/proof/leave_test.go
+++ b/proof/leave_test.go
@@ -145,12 +145,12 @@
 	is := is.New(t)
 	f := newFleet(t, 2, 3, false)
 	home, other := f.nodes[1], f.nodes[0]
-	req, err := http.NewRequest(http.MethodGet, "http://"+home.callers+node.AskPath+"?service=desk", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+home.callers+node.DiscoveryPath+"?service=desk", nil)
 	is.NoErr(err)
 	req.Header.Set(node.HeaderToken, callerToken)
 	res, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
-	var a node.Answer
+	var a node.Endpoints
 	is.NoErr(json.NewDecoder(res.Body).Decode(&a))
 	_ = res.Body.Close()
 	kept, err := net.Dial("tcp", home.callers)
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -231,7 +231,7 @@
 	_, err = op.Leave(ctx, as(stripToken, &tlv1.LeaveRequest{}))
 	is.Equal(connect.CodeOf(err), connect.CodePermissionDenied)
 
-	for _, path := range []string{"/status/1", node.AskPath + "?service=desk", node.AskPath + "?service=tuul/desk"} {
+	for _, path := range []string{"/status/1", node.DiscoveryPath + "?service=desk", node.DiscoveryPath + "?service=tuul/desk"} {
 		status := map[string]int{}
 		for _, service := range []string{"desk", "none"} {
 			for _, n := range f.nodes {
