--- a/node/account.go
+++ b/node/account.go
@@ -38,17 +38,17 @@
 	causeNodeEnded cause = "node_ended"
 )
 
-// tellAttempt tells of an attempt that did not end well, and of what it was decided by.
-func (x *exchange) tellAttempt(t try, e end, took clock.Millis) {
+// logAttempt tells of an attempt that did not end well, and of what it was decided by.
+func (x *exchange) logAttempt(t plannedAttempt, e attemptEnd, took clock.Millis) {
 	l := t.lease
 	f := logrus.Fields{
 		"event": "attempt_failed", "request": x.id, "service": x.service.name, "target": l.Target, "address": l.Address,
 		"outcome": e.outcome, "ms": took, "why": l.Reason, "failing": fmt.Sprintf("%.2f", l.Failing), "known_ms": l.KnownAge,
 		"load": fmt.Sprintf("%d/%d", l.InFlight, l.Slots), "waited_ms": t.waited, "left_ms": x.deadline - x.node.clock.Now(),
 	}
-	if e.answer != nil {
-		f["status"], f["reused"] = e.answer.Status, e.answer.Reused
-		if load, told := x.targetLoad(e.answer); told {
+	if e.response != nil {
+		f["status"], f["reused"] = e.response.Status, e.response.Reused
+		if load, told := x.targetLoad(e.response); told {
 			f["target_load"] = fmt.Sprintf("%d+%d/%d", load.Running, load.Waiting, load.Slots)
 		}
 	}
@@ -56,7 +56,7 @@
 		f["error"] = e.err
 	}
 	if e.outcome == pool.ConnectionLost {
-		f["door"], f["print"] = e.door, x.fingerprints()[quarantine.ScopeRequest]
+		f["door"], f["print"] = e.probe, x.fingerprints()[quarantine.ScopeRequest]
 	}
 	if l.RunnerUp != "" {
 		f["next"], f["next_failing"] = l.RunnerUp, fmt.Sprintf("%.2f", l.RunnerUpFailing)
@@ -72,19 +72,19 @@
 	return x.headers.ParseLoad(a.Header)
 }
 
-// ended notes how the request ended; status 0 says that nobody was answered, and no cause that it was
+// recordEnd notes how the request recordEnd; status 0 says that nobody was answered, and no cause that it was
 // served.
-func (x *exchange) ended(status int, c cause, reason string) {
+func (x *exchange) recordEnd(status int, c cause, reason string) {
 	n := x.node
 	now := n.clock.Now()
 	took := now - x.began
 	if c != "" && n.leaving.ends() {
 		c = causeNodeEnded
 	}
-	x.service.pool.RecordResult(x.endOf(c, status))
+	x.service.pool.RecordResult(x.poolResult(c, status))
 	n.metrics.ended(x.route.Repeatable, status, c, took)
 	if c == "" {
-		x.tellServed(status, took, now)
+		x.logServed(status, took, now)
 		return
 	}
 	x.service.tally.failed(now, took)
@@ -96,22 +96,22 @@
 	}).Warn()
 }
 
-// endOf says how a request counts for its service.
-func (x *exchange) endOf(c cause, status int) pool.Result {
+// poolResult says how a request counts for its service.
+func (x *exchange) poolResult(c cause, status int) pool.Result {
 	switch {
 	case c == "" || status == 0:
 		return pool.Served
 	case status == http.StatusGatewayTimeout:
 		return pool.TimedOut
-	case x.why == pool.Spread:
+	case x.lastReason == pool.Spread:
 		return pool.TrialFailed
 	}
 	return pool.Unserved
 }
 
-// tellServed tells of one served request a second of each service, and of those that took more than
+// logServed tells of one served request a second of each service, and of those that took more than
 // one attempt.
-func (x *exchange) tellServed(status int, took, now clock.Millis) {
+func (x *exchange) logServed(status int, took, now clock.Millis) {
 	sampled := x.service.tally.served(now, took)
 	if !sampled && len(x.tried) < 2 {
 		return
@@ -135,16 +135,16 @@
 	mu        sync.Mutex
 	sampledAt clock.Millis
 	// sum began at the time.
-	began       clock.Millis
-	ok, bad     int
-	total, most clock.Millis
+	began          clock.Millis
+	ok, bad        int
+	total, longest clock.Millis
 }
 
 const (
-	// sampleEvery is the least time between two served requests of a service in the log.
-	sampleEvery = 1 * clock.Second
-	// sumEvery is how often the requests of a service are summed in the log, if there were any.
-	sumEvery = 10 * clock.Second
+	// sampleInterval is the least time between two served requests of a service in the log.
+	sampleInterval = 1 * clock.Second
+	// summaryInterval is how often the requests of a service are summed in the log, if there were any.
+	summaryInterval = 10 * clock.Second
 )
 
 // served counts a request, and says whether it is one for the log.
@@ -153,7 +153,7 @@
 	defer t.mu.Unlock()
 	t.ok++
 	t.add(now, took)
-	if now-t.sampledAt < sampleEvery {
+	if now-t.sampledAt < sampleInterval {
 		return false
 	}
 	t.sampledAt = now
@@ -172,20 +172,20 @@
 		t.began = now
 	}
 	t.total += took
-	t.most = max(t.most, took)
+	t.longest = max(t.longest, took)
 }
 
-// sum returns what was counted as a log line has it, and begins anew, if it is time to.
-func (t *tally) sum(now clock.Millis) logrus.Fields {
+// summary returns what was counted as a log line has it, and begins anew, if it is time to.
+func (t *tally) summary(now clock.Millis) logrus.Fields {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.began == 0 || now-t.began < sumEvery {
+	if t.began == 0 || now-t.began < summaryInterval {
 		return nil
 	}
 	f := logrus.Fields{
 		"event": "requests", "served": t.ok, "failed": t.bad, "for_ms": now - t.began,
-		"mean_ms": t.total / clock.Millis(t.ok+t.bad), "most_ms": t.most,
+		"mean_ms": t.total / clock.Millis(t.ok+t.bad), "most_ms": t.longest,
 	}
-	t.began, t.ok, t.bad, t.total, t.most = 0, 0, 0, 0, 0
+	t.began, t.ok, t.bad, t.total, t.longest = 0, 0, 0, 0, 0
 	return f
 }
--- a/node/answer.go
+++ b/node/answer.go
@@ -13,20 +13,20 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// retryPause is what callers are told when nothing better is known.
-const retryPause clock.Millis = 300
+// defaultRetryAfter is what callers are told when nothing better is known.
+const defaultRetryAfter clock.Millis = 300
 
-// promises are statuses that tell callers that a request has not run.
-var promises = map[int]bool{
+// notRunStatuses are statuses that tell callers that a request has not run.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// answer passes a target's answer on. An answer that was cut is cut for the caller too.
-func (x *exchange) answer(a *forward.Response, t ticket) {
-	if x.headers.NotRunStatuses && promises[a.Status] {
+// respond passes a target's respond on. An respond that was cut is cut for the caller too.
+func (x *exchange) respond(a *forward.Response, t ticket) {
+	if x.headers.NotRunStatuses && notRunStatuses[a.Status] {
 		discard(a)
-		x.noAnswer(errors.Newf("status %d without a word on whether the request ran", a.Status), t)
+		x.respondUnknown(errors.Newf("status %d without a word on whether the request ran", a.Status), t)
 		return
 	}
 	x.writeHeader(a)
@@ -36,11 +36,11 @@
 			err = copyFlushing(x.w, a.Rest)
 		}
 		_ = a.Rest.Close()
-		x.restEnded(err)
+		x.finishStream(err)
 	}
 	if err != nil {
 		t.Unknown()
-		x.ended(a.Status, causeCut, "the answer was cut: "+err.Error())
+		x.recordEnd(a.Status, causeCut, "the answer was cut: "+err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	for k, v := range a.Trailer {
@@ -51,7 +51,7 @@
 	if a.Status >= http.StatusInternalServerError {
 		c = causeTargetFailed
 	}
-	x.ended(a.Status, c, "")
+	x.recordEnd(a.Status, c, "")
 }
 
 func (x *exchange) writeHeader(a *forward.Response) {
@@ -80,23 +80,23 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// errTargetBroke marks answers that their target did not finish.
-var errTargetBroke = errors.New("the target broke off")
+// errResponseTruncated marks answers that their target did not finish.
+var errResponseTruncated = errors.New("the target broke off")
 
-// restEnded takes in how a large answer ended: only its end shows that the request did its target no harm.
-func (x *exchange) restEnded(err error) {
+// finishStream takes in how a large answer ended: only its end shows that the request did its target no harm.
+func (x *exchange) finishStream(err error) {
 	switch {
-	case x.used == nil:
+	case x.usedLease == nil:
 	case err == nil:
 		x.node.suspects.good(x)
-	case errors.Is(err, errTargetBroke):
-		x.lost(context.Background(), x.used)
+	case errors.Is(err, errResponseTruncated):
+		x.lost(context.Background(), x.usedLease)
 	}
 }
 
 // copyFlushing sends each piece of a large answer as it comes.
 func copyFlushing(w http.ResponseWriter, r io.Reader) error {
-	buf := make([]byte, smallBody)
+	buf := make([]byte, maxBufferedBody)
 	for {
 		n, err := r.Read(buf)
 		if n > 0 {
@@ -109,70 +109,70 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return errors.Mark(err, errTargetBroke)
+			return errors.Mark(err, errResponseTruncated)
 		}
 	}
 }
 
-// noAnswer tells of a request that a target may have run and did not answer.
-func (x *exchange) noAnswer(err error, t ticket) {
+// respondUnknown tells of a request that a target may have run and did not answer.
+func (x *exchange) respondUnknown(err error, t ticket) {
 	t.Unknown()
 	if errors.Is(err, forward.ErrRequestBody) {
-		x.badBody(err, Unknown)
+		x.rejectBody(err, Unknown)
 		return
 	}
 	p := Problem{Status: http.StatusBadGateway, Outcome: Unknown, Detail: "the target did not answer"}
-	if x.node.clock.Now() >= x.deadline-sendMargin {
+	if x.node.clock.Now() >= x.deadline-deadlineMargin {
 		p.Status, p.Detail = http.StatusGatewayTimeout, "the deadline passed before the target answered"
 	}
 	c := causeNoAnswer
 	if p.Status == http.StatusGatewayTimeout {
 		c = causeDeadline
 	}
-	x.tell(p, c, err)
+	x.respondProblem(p, c, err)
 }
 
 // giveUp tells of a request that no target took in the end.
 func (x *exchange) giveUp(err error, t ticket) {
 	switch {
 	case x.callerLeft():
-		x.gone(t)
+		x.abort(t)
 	case x.ran > 0:
-		x.noAnswer(err, t)
+		x.respondUnknown(err, t)
 		return
 	}
 	t.Void()
-	p := Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: "no target could take the request", RetryAfter: retryPause}
+	p := Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: "no target could take the request", RetryAfter: defaultRetryAfter}
 	c := causeNoTarget
 	var busy *pool.BusyError
 	switch {
 	case errors.As(err, &busy):
 		c, p.Detail, p.RetryAfter = causeQueue, busy.Reason, busy.RetryAfter
-	case x.shed:
+	case x.lastShed:
 		c = causeShed
 	}
-	x.tell(p, c, err)
+	x.respondProblem(p, c, err)
 }
 
-// tell answers the caller with a problem, at once.
-func (x *exchange) tell(p Problem, c cause, err error) {
+// respondProblem answers the caller with a problem, at once.
+func (x *exchange) respondProblem(p Problem, c cause, err error) {
 	x.w.Header().Set(x.headers.RequestID, x.id)
 	p.fractionalSeconds = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	p.Write(x.w)
 	x.node.events.failed(x.service.name, p.Outcome)
 	x.retryAfter = p.RetryAfter
-	x.ended(p.Status, c, p.Detail+": "+err.Error())
+	x.recordEnd(p.Status, c, p.Detail+": "+err.Error())
 }
 
-// gone ends a request whose caller has left.
-func (x *exchange) gone(t ticket) {
+// abort ends a request whose caller has left.
+func (x *exchange) abort(t ticket) {
 	if x.ran > 0 {
 		t.Unknown()
 	} else {
 		t.Void()
 	}
-	x.ended(0, causeCallerLeft, "the caller left")
+	x.recordEnd(0, causeCallerLeft, "the caller left")
 	panic(http.ErrAbortHandler)
 }
 
@@ -182,10 +182,10 @@
 	}
 }
 
-// pass sends the request to another node as it is, once, and its answer back.
-func (x *exchange) pass(address string) {
+// passToNode sends the request to another node as it is, once, and its answer back.
+func (x *exchange) passToNode(address string) {
 	if err := x.readBody(); err != nil {
-		x.badBody(err, Unknown)
+		x.rejectBody(err, Unknown)
 		return
 	}
 	h := x.r.Header.Clone()
@@ -205,10 +205,10 @@
 	a, err := x.node.conns.Send(ctx, address, x.request(h))
 	if err != nil {
 		p := Problem{Status: http.StatusBadGateway, Outcome: Unknown, RetryAfter: passRetryAfter, Detail: "the key's home did not answer"}
-		x.tell(p, causeNoAnswer, err)
+		x.respondProblem(p, causeNoAnswer, err)
 		return
 	}
 	x.w.Header()[HeaderOutcome] = a.Header[HeaderOutcome]
 	x.w.Header()[HeaderReplay] = a.Header[HeaderReplay]
-	x.answer(a, noTicket{})
+	x.respond(a, noTicket{})
 }
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// lateFactor is how many times as long as usual an attempt must have had to be held against its
+	// timeoutBlameFactor is how many times as long as usual an attempt must have had to be held against its
 	// target when time runs out.
-	lateFactor = 2
+	timeoutBlameFactor = 2
 )
 
 // A ticket is told how a run-once request ended.
@@ -48,10 +48,10 @@
 	headers forward.Headers
 	// workspace is in whose name the request runs; nil if it needs no key.
 	workspace *access.Workspace
-	// keyed says that callers show keys, which no target may see.
-	keyed    bool
+	// stripKey says that callers show keys, which no target may see.
+	stripKey bool
 	service  *service
-	pace     *pace
+	stats    *routeStats
 	id       string
 	began    clock.Millis
 	deadline clock.Millis
@@ -59,26 +59,26 @@
 	stream   io.Reader
 	// head is the first part of a body that is streamed.
 	head []byte
-	// space is the workspace, and on the fleet's own interface the service, that the request names by its key or token.
-	space         string
+	// owner is the workspace, and on the fleet's own interface the service, that the request names by its key or token.
+	owner         string
 	fingerprinted fingerprintsOnce
-	// halls are those whose targets may have the request; nil stands for all.
-	halls map[ident.Hall]bool
-	// used is the attempt whose answer is passed on.
-	used *pool.Lease
+	// allowedHalls are those whose targets may have the request; nil stands for all.
+	allowedHalls map[ident.Hall]bool
+	// usedLease is the attempt whose answer is passed on.
+	usedLease *pool.Lease
 	// verdict is how the quarantine has it treated.
 	verdict quarantine.Verdict
 	tried   []ident.Target
-	// why says why the last of them was chosen.
-	why pool.Reason
+	// lastReason says lastReason the last of them was chosen.
+	lastReason pool.Reason
 	// ran counts the attempts that a target may have run.
 	ran int
 	// waited is how long the request waited for slots, in all.
 	waited clock.Millis
 	// retryAfter is when the caller was told to come back.
 	retryAfter clock.Millis
-	// shed says that the last target turned the request away.
-	shed bool
+	// lastShed says that the last target turned the request away.
+	lastShed bool
 }
 
 func newExchange(n *Node, w http.ResponseWriter, r *http.Request, route *desired.Route, h forward.Headers) *exchange {
@@ -88,11 +88,11 @@
 		id:      r.Header.Get(h.RequestID),
 		service: n.services.get(route.PickService(rand.Uint32N)),
 	}
-	x.pace = x.service.pace(route.Name, n.clock)
+	x.stats = x.service.pace(route.Name, n.clock)
 	if ms, err := strconv.ParseInt(r.Header.Get(h.Deadline), 10, 64); err == nil && ms >= 0 {
 		x.deadline = min(x.deadline, now+clock.Millis(ms))
 	}
-	if !idValid(x.id) {
+	if !validRequestID(x.id) {
 		x.id = strconv.FormatUint(rand.Uint64(), 16)
 	}
 	return x
@@ -100,10 +100,10 @@
 
 // serve makes attempts until one ends the request, and tells the ticket how it ended.
 func (x *exchange) serve(t ticket) {
-	x.limitCaller()
+	x.setCallerDeadlines()
 	if err := x.readBody(); err != nil {
 		t.Void()
-		x.badBody(err, NotRun)
+		x.rejectBody(err, NotRun)
 		return
 	}
 	if x.heldBack(t) {
@@ -122,21 +122,21 @@
 			return
 		}
 		a, err := x.race(ctx, l)
-		if x.settle(a, err, t) {
+		if x.finish(a, err, t) {
 			return
 		}
 	}
 }
 
-// late returns a problem if the request could last beyond this node's end.
-func (x *exchange) late(o Outcome) *Problem {
+// checkLeaving returns a problem if the request could last beyond this node's end.
+func (x *exchange) checkLeaving(o Outcome) *Problem {
 	if !x.node.leaving.late(x.deadline - x.began) {
 		return nil
 	}
-	return aboutToEnd(o)
+	return leavingProblem(o)
 }
 
-func aboutToEnd(o Outcome) *Problem {
+func leavingProblem(o Outcome) *Problem {
 	return &Problem{Status: http.StatusServiceUnavailable, Outcome: o, RetryAfter: leavingRetryAfter, Detail: "this node is about to end; ask another one"}
 }
 
@@ -152,19 +152,19 @@
 	defer cancel()
 	from := x.node.clock.Now()
 	defer func() { x.waited += x.node.clock.Now() - from }()
-	return x.service.pool.Acquire(ctx, x.ask())
+	return x.service.pool.Acquire(ctx, x.poolRequest())
 }
 
-func (x *exchange) ask() *pool.Request {
+func (x *exchange) poolRequest() *pool.Request {
 	return &pool.Request{
-		Repeatable: x.route.Repeatable, MayRetry: x.plan().CanHedge(x.ran),
-		Priority: x.rank(), Began: x.began, Objective: x.route.Objective, Deadline: x.deadline, Exclude: x.tried,
-		Bytes: x.pace.size(), Halls: x.halls,
+		Repeatable: x.route.Repeatable, MayRetry: x.policy().CanHedge(x.ran),
+		Priority: x.priority(), Began: x.began, Objective: x.route.Objective, Deadline: x.deadline, Exclude: x.tried,
+		Bytes: x.stats.meanSize(), Halls: x.allowedHalls,
 	}
 }
 
-// rank says who waits when there is too much work: workspaces that have one of their own, before what their routes say.
-func (x *exchange) rank() uint32 {
+// priority says who waits when there is too much work: workspaces that have one of their own, before what their routes say.
+func (x *exchange) priority() uint32 {
 	if x.workspace != nil {
 		return x.workspace.Priority
 	}
@@ -193,43 +193,43 @@
 
 // attempt sends the request to a target, and learns from how it ends. It may run beside another attempt
 // of the request, and on after the request's end.
-func (x *exchange) attempt(ctx context.Context, t try) end {
+func (x *exchange) attempt(ctx context.Context, t plannedAttempt) attemptEnd {
 	from := x.node.clock.Now()
 	a, err := x.node.conns.Send(ctx, t.lease.Address, t.request)
 	took := x.node.clock.Now() - from
-	if err != nil && errors.Is(context.Cause(ctx), errBeaten) {
-		err = errors.Mark(errBeaten, forward.ErrSent)
+	if err != nil && errors.Is(context.Cause(ctx), errLostRace) {
+		err = errors.Mark(errLostRace, forward.ErrSent)
 	}
-	e := end{lease: t.lease, answer: a, err: err, outcome: x.outcome(ctx, a, err, t.lease, took)}
+	e := attemptEnd{lease: t.lease, response: a, err: err, outcome: x.outcome(ctx, a, err, t.lease, took)}
 	if e.outcome == pool.ConnectionLost {
-		e.door = x.lost(ctx, t.lease)
+		e.probe = x.lost(ctx, t.lease)
 	}
 	if e.outcome == pool.Good && a.Rest == nil {
 		x.node.suspects.good(x)
 	}
-	t.lease.Done(e.outcome, a != nil && x.leaves(a))
+	t.lease.Done(e.outcome, a != nil && x.targetClosing(a))
 	if e.outcome == pool.Late || e.outcome == pool.ConnectionLost {
 		// The target's other connections may be silent too: one request is lost by them, not one by each.
 		x.node.conns.CloseIdle(t.lease.Address)
 	}
-	x.pace.learn(e, t.request, took)
+	x.stats.addAttempt(e, t.request, took)
 	x.node.metrics.attempt(e.outcome, took)
 	if e.outcome != pool.Good {
-		x.tellAttempt(t, e, took)
+		x.logAttempt(t, e, took)
 	}
 	return e
 }
 
-// count notes an attempt that has ended.
-func (x *exchange) count(e end) {
-	x.shed = e.outcome == pool.Shed || e.outcome == pool.Replaced
-	if !x.shed && e.outcome != pool.Unreachable {
+// countAttempt notes an attempt that has ended.
+func (x *exchange) countAttempt(e attemptEnd) {
+	x.lastShed = e.outcome == pool.Shed || e.outcome == pool.Replaced
+	if !x.lastShed && e.outcome != pool.Unreachable {
 		x.ran++
 	}
 }
 
-// leaves says whether the answer says that the target closes its connections.
-func (x *exchange) leaves(a *forward.Response) bool {
+// targetClosing says whether the answer says that the target closes its connections.
+func (x *exchange) targetClosing(a *forward.Response) bool {
 	return a.Closing || x.headers.Leaving != "" && a.Header.Get(x.headers.Leaving) != ""
 }
 
@@ -241,15 +241,15 @@
 
 // outcome says how an attempt ended that took so long.
 func (x *exchange) outcome(ctx context.Context, a *forward.Response, err error, l *pool.Lease, took clock.Millis) pool.Outcome {
-	timeout := err != nil && x.node.clock.Now() >= x.deadline-sendMargin || err == nil && a.Status == http.StatusGatewayTimeout
+	timeout := err != nil && x.node.clock.Now() >= x.deadline-deadlineMargin || err == nil && a.Status == http.StatusGatewayTimeout
 	switch {
 	case errors.Is(err, forward.ErrRequestBody):
 		return pool.Abandoned // by no fault of the target
-	case err != nil && errors.Is(context.Cause(ctx), errBeaten):
-		return x.pace.beaten(took)
+	case err != nil && errors.Is(context.Cause(ctx), errLostRace):
+		return x.stats.lostRaceOutcome(took)
 	case err != nil && errors.Is(context.Cause(ctx), errEnding):
 		return pool.Abandoned
-	case timeout && took < l.ServiceTime()*lateFactor:
+	case timeout && took < l.ServiceTime()*timeoutBlameFactor:
 		return pool.Abandoned // it had no fair chance
 	case timeout:
 		return pool.Late
@@ -271,8 +271,8 @@
 	return pool.Good
 }
 
-// plan is what the request allows.
-func (x *exchange) plan() attempt.Policy {
+// policy is what the request allows.
+func (x *exchange) policy() attempt.Policy {
 	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.MaxAttempts, SingleTarget: x.sole()}
 }
 
@@ -284,8 +284,8 @@
 	}
 }
 
-// endOfAttempt says how an attempt ended, as far as it decides what follows.
-func (x *exchange) endOfAttempt(a *forward.Response, err error) attempt.Result {
+// attemptResult says how an attempt ended, as far as it decides what follows.
+func (x *exchange) attemptResult(a *forward.Response, err error) attempt.Result {
 	if err != nil {
 		return attempt.Result{Unsent: !errors.Is(err, forward.ErrSent)}
 	}
@@ -294,9 +294,9 @@
 	}
 }
 
-// settle answers the caller if the attempt ends the request, and says whether it did.
-func (x *exchange) settle(a *forward.Response, err error, t ticket) bool {
-	step := x.plan().Next(x.endOfAttempt(a, err), x.progress(), x.more)
+// finish answers the caller if the attempt ends the request, and says whether it did.
+func (x *exchange) finish(a *forward.Response, err error, t ticket) bool {
+	step := x.policy().Next(x.attemptResult(a, err), x.progress(), x.allowRetry)
 	if step != attempt.Respond {
 		discard(a)
 	}
@@ -304,19 +304,19 @@
 	case attempt.Retry:
 		return false
 	case attempt.Respond:
-		x.answer(a, t)
+		x.respond(a, t)
 	case attempt.Canceled:
-		x.gone(t)
+		x.abort(t)
 	case attempt.NotRun:
 		x.giveUp(pool.ErrNoTarget, t)
 	case attempt.Unknown:
-		x.noAnswer(err, t)
+		x.respondUnknown(err, t)
 	}
 	return true
 }
 
-// more says whether the fleet may make one more attempt, and counts it.
-func (x *exchange) more() bool {
+// allowRetry says whether the fleet may make one allowRetry attempt, and counts it.
+func (x *exchange) allowRetry() bool {
 	allowed := x.service.pool.RetryBudget().Allow()
 	x.node.metrics.again(allowed)
 	return allowed
--- a/node/fingerprint.go
+++ b/node/fingerprint.go
@@ -22,7 +22,7 @@
 			body = x.head
 		}
 		x.fingerprinted.made = quarantine.FingerprintsOf(&quarantine.Request{
-			Caller: callerOf(x.r), Workspace: x.space, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
+			Caller: callerOf(x.r), Workspace: x.owner, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
 			Host: x.route.Host, // not as it was sent: where the host is a node's own, the next node has another one
 		})
 	})
--- a/node/front.go
+++ b/node/front.go
@@ -85,16 +85,16 @@
 		return nil, problem
 	}
 	x := newExchange(n, w, r, route, n.platform.Speech.Headers)
-	x.keyed = t.Access != nil
-	x.halls = n.hallsFor(route, workspace)
-	if problem := x.late(NotRun); problem != nil || workspace == nil {
+	x.stripKey = t.Access != nil
+	x.allowedHalls = n.hallsFor(route, workspace)
+	if problem := x.checkLeaving(NotRun); problem != nil || workspace == nil {
 		return x, problem
 	}
 	if problem := n.checkLimit(workspace, r); problem != nil {
 		problem.workspace, problem.limit = workspace.Name, workspace.Rate.PerSecond
 		return nil, problem
 	}
-	x.workspace, x.space = workspace, string(workspace.Name)
+	x.workspace, x.owner = workspace, string(workspace.Name)
 	return x, nil
 }
 
--- a/node/heldback.go
+++ b/node/heldback.go
@@ -34,7 +34,7 @@
 	}
 	l.Done(pool.Abandoned, false)
 	if x.ran > 0 {
-		x.noAnswer(errHeldBack, t)
+		x.respondUnknown(errHeldBack, t)
 		return true
 	}
 	x.refuseHeld(x.node.suspects.problem(p), t)
--- a/node/outgoing.go
+++ b/node/outgoing.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	// smallBody is the largest body of a request that is kept, so that it can be sent again.
-	smallBody = 64 << 10
-	// printedBody is how much of a larger body a request is known by.
-	printedBody = 4 << 10
-	// sendMargin is how much sooner than a caller's time is over a target is told to end.
-	sendMargin clock.Millis = 5
+	// maxBufferedBody is the largest body of a request that is kept, so that it can be sent again.
+	maxBufferedBody = 64 << 10
+	// maxFingerprintedBody is how much of a larger body a request is known by.
+	maxFingerprintedBody = 4 << 10
+	// deadlineMargin is how much sooner than a caller's time is over a target is told to end.
+	deadlineMargin clock.Millis = 5
 	// callerGrace is how much longer than a request's deadline a caller may take to send it or to
 	// read its answer.
 	callerGrace clock.Millis = 500
-	// restRepeatable and restOnce are how long a connection may have rested for a request. A
+	// maxIdleRepeatable and maxIdleOnce are how long a connection may have rested for a request. A
 	// target may have forgotten one that rested long, and a run-once request would be lost on it.
-	restRepeatable = 30 * clock.Second
-	restOnce       = 5 * clock.Second
+	maxIdleRepeatable = 30 * clock.Second
+	maxIdleOnce       = 5 * clock.Second
 )
 
-// limitCaller bounds how long a caller may take to send its request and to read its answer, so that
+// setCallerDeadlines bounds how long a caller may take to send its request and to read its answer, so that
 // a slow one cannot hold a target's slot. The bounds hold until the connection's next request.
-func (x *exchange) limitCaller() {
+func (x *exchange) setCallerDeadlines() {
 	rc := http.NewResponseController(x.w)
 	end := time.Now().Add((x.deadline - x.began + callerGrace).Duration())
 	_ = rc.SetReadDeadline(end) // not every kind of connection has deadlines
@@ -51,39 +51,39 @@
 		return nil
 	}
 	body := reading.Body(x.r)
-	most := smallBody + 1
-	if x.r.ContentLength > smallBody {
-		most = printedBody
+	limit := maxBufferedBody + 1
+	if x.r.ContentLength > maxBufferedBody {
+		limit = maxFingerprintedBody
 	}
-	x.body, err = x.readSome(body, most)
-	if err == nil && (len(x.body) > smallBody || x.r.ContentLength > smallBody) {
+	x.body, err = x.readUpTo(body, limit)
+	if err == nil && (len(x.body) > maxBufferedBody || x.r.ContentLength > maxBufferedBody) {
 		x.stream = io.MultiReader(bytes.NewReader(x.body), body)
-		x.head, x.body = x.body[:min(len(x.body), printedBody)], nil
+		x.head, x.body = x.body[:min(len(x.body), maxFingerprintedBody)], nil
 	}
 	return err
 }
 
-// readSome reads a body, or so much of it. What is still on its way as the node ends is not waited for: its caller is to be
+// readUpTo reads a body, or so much of it. What is still on its way as the node ends is not waited for: its caller is to be
 // answered.
-func (x *exchange) readSome(body io.Reader, most int) ([]byte, error) {
+func (x *exchange) readUpTo(body io.Reader, limit int) ([]byte, error) {
 	cut := make(chan struct{})
 	stop := context.AfterFunc(x.node.leaving.ending, func() {
 		defer close(cut)
 		_ = http.NewResponseController(x.w).SetReadDeadline(time.Now())
 	})
-	b, err := io.ReadAll(io.LimitReader(body, int64(most)))
+	b, err := io.ReadAll(io.LimitReader(body, int64(limit)))
 	if !stop() {
 		<-cut
 	}
 	return b, err
 }
 
-// badBody tells of a body that could not be read. What was sent of it to a target is no whole request, but a target may
+// rejectBody tells of a body that could not be read. What was sent of it to a target is no whole request, but a target may
 // have run it.
-func (x *exchange) badBody(err error, o Outcome) {
+func (x *exchange) rejectBody(err error, o Outcome) {
 	p := bodyProblem(err)
 	if p == nil {
-		x.ended(0, causeCallerLeft, "the caller broke off: "+err.Error())
+		x.recordEnd(0, causeCallerLeft, "the caller broke off: "+err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	p.Outcome = o
@@ -92,7 +92,7 @@
 	case o != NotRun:
 		p.Status = http.StatusGatewayTimeout // the other one would promise that nothing has run
 	case x.node.leaving.ends():
-		p = aboutToEnd(o)
+		p = leavingProblem(o)
 	}
 	x.w.Header().Set("Connection", "close") // nobody knows where the next request begins
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(callerGrace.Duration()))
@@ -114,15 +114,15 @@
 	return &Problem{Status: http.StatusBadRequest, Detail: "the body is malformed"}
 }
 
-func (x *exchange) outgoing(l *pool.Lease) *forward.Request {
+func (x *exchange) targetRequest(l *pool.Lease) *forward.Request {
 	h := x.r.Header.Clone()
 	forward.DropHopByHop(h)
 	for _, name := range nodesOnly {
 		h.Del(name)
 	}
-	x.identify(h)
+	x.setWorkspace(h)
 	h.Set(x.headers.RequestID, x.id)
-	h.Set(x.headers.Deadline, strconv.FormatInt(int64(max(x.deadline-x.node.clock.Now()-sendMargin, 1)), 10))
+	h.Set(x.headers.Deadline, strconv.FormatInt(int64(max(x.deadline-x.node.clock.Now()-deadlineMargin, 1)), 10))
 	if x.headers.Instance != "" {
 		h.Set(x.headers.Instance, string(l.Target))
 	}
@@ -134,18 +134,18 @@
 	}
 	r := x.request(h)
 	if !x.route.Repeatable {
-		r.MaxIdle = restOnce
+		r.MaxIdle = maxIdleOnce
 	}
 	return r
 }
 
-// identify tells the target in whose name the request runs, whatever the caller said of that, and keeps the
+// setWorkspace tells the target in whose name the request runs, whatever the caller said of that, and keeps the
 // caller's key from it: a target, or whoever reads its logs, could ask in the workspace's name.
-func (x *exchange) identify(h http.Header) {
+func (x *exchange) setWorkspace(h http.Header) {
 	if x.headers.Workspace != "" {
 		forward.DropVariants(h, x.headers.Workspace)
 	}
-	if x.keyed && x.headers.Key != "" {
+	if x.stripKey && x.headers.Key != "" {
 		forward.DropVariants(h, x.headers.Key)
 	}
 	if x.workspace != nil {
@@ -157,7 +157,7 @@
 	return &forward.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host, Header: h,
 		Body: x.body, Stream: x.stream, Length: x.r.ContentLength,
-		ID: x.id, IDHeader: x.headers.RequestID, IDOptional: x.headers.IDOptional, MaxIdle: restRepeatable,
+		ID: x.id, IDHeader: x.headers.RequestID, IDOptional: x.headers.IDOptional, MaxIdle: maxIdleRepeatable,
 	}
 }
 
@@ -178,7 +178,7 @@
 	h.Set("Forwarded", fmt.Sprintf("for=%s;host=%q;proto=http", from, r.Host))
 }
 
-// idValid says whether an id can stand in logs and headers as it is.
-func idValid(id string) bool {
+// validRequestID says whether an id can stand in logs and headers as it is.
+func validRequestID(id string) bool {
 	return id != "" && len(id) <= 4*ident.MaxName && !strings.ContainsAny(id, " \t\"=")
 }
--- a/node/own.go
+++ b/node/own.go
@@ -108,8 +108,8 @@
 func (n *Node) runOwn(w http.ResponseWriter, r *http.Request, route *ownRoute, passed string) {
 	r.Body = http.MaxBytesReader(nil, r.Body, n.settings().Limits.BodyBytes)
 	x := newExchange(n, w, r, route.Route, ownHeaders)
-	x.space = route.service.String()
-	if p := x.late(rejectedOutcome(r)); p != nil {
+	x.owner = route.service.String()
+	if p := x.checkLeaving(rejectedOutcome(r)); p != nil {
 		n.refuse(w, r, *p)
 		return
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	x.w.Header().Set(HeaderReplay, "true")
-	x.answer(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
+	x.respond(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
 }
 
 // homeAddress returns the process's door for peers, if the process is known to live.
@@ -197,5 +197,5 @@
 		})
 		return
 	}
-	x.pass(address)
+	x.passToNode(address)
 }
--- a/node/pace.go
+++ b/node/pace.go
@@ -9,67 +9,67 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// A pace is how long the requests of one route take at one service, and how large they are.
-type pace struct {
+// A routeStats is how long the requests of one route take at one service, and how large they are.
+type routeStats struct {
 	track *latency.Tracker
 
-	mu    sync.Mutex
-	bytes float64
+	mu        sync.Mutex
+	meanBytes float64
 }
 
-func newPace(c clock.Clock) *pace {
-	return &pace{track: latency.New(c)}
+func newRouteStats(c clock.Clock) *routeStats {
+	return &routeStats{track: latency.New(c)}
 }
 
 const (
-	// hedgeShare is the share of good answers that come sooner than a second attempt is made.
-	hedgeShare = 0.9
-	// hedgeFactor is how many times as long as usual an attempt is waited for while too few answers of
+	// hedgeQuantile is the share of good answers that come sooner than a second attempt is made.
+	hedgeQuantile = 0.9
+	// hedgeDelayFactor is how many times as long as usual an attempt is waited for while too few answers of
 	// its kind are known.
-	hedgeFactor = 2
+	hedgeDelayFactor = 2
 	// bytesSmoothing is the part of a new size in the running mean, 1/8.
 	bytesSmoothing = 8
 )
 
-// size returns how large a request and its answer usually are.
-func (p *pace) size() float64 {
+// meanSize returns how large a request and its answer usually are.
+func (p *routeStats) meanSize() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.bytes
+	return p.meanBytes
 }
 
-// learnSize takes in the size of a request and its answer.
-func (p *pace) learnSize(n int64) {
+// addSize takes in the size of a request and its answer.
+func (p *routeStats) addSize(n int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bytes == 0 {
-		p.bytes = float64(n)
+	if p.meanBytes == 0 {
+		p.meanBytes = float64(n)
 		return
 	}
-	p.bytes += (float64(n) - p.bytes) / bytesSmoothing
+	p.meanBytes += (float64(n) - p.meanBytes) / bytesSmoothing
 }
 
-// patience is how long an attempt is waited for before a second one is made beside it.
-func (p *pace) patience(usual clock.Millis) clock.Millis {
-	if q, known := p.track.Quantile(hedgeShare); known {
+// hedgeDelay is how long an attempt is waited for before a second one is made beside it.
+func (p *routeStats) hedgeDelay(usual clock.Millis) clock.Millis {
+	if q, known := p.track.Quantile(hedgeQuantile); known {
 		return q
 	}
-	return hedgeFactor * usual
+	return hedgeDelayFactor * usual
 }
 
-// learn counts a good answer.
-func (p *pace) learn(e end, r *forward.Request, took clock.Millis) {
+// addAttempt counts a good answer.
+func (p *routeStats) addAttempt(e attemptEnd, r *forward.Request, took clock.Millis) {
 	if e.outcome != pool.Good {
 		return
 	}
 	p.track.Add(took)
-	p.learnSize(max(r.Length, 0) + int64(len(e.answer.Body)) + max(e.answer.Length, 0))
+	p.addSize(max(r.Length, 0) + int64(len(e.response.Body)) + max(e.response.Length, 0))
 }
 
-// beaten says how an attempt counts that was given up since another answered first: it speaks against
+// lostRaceOutcome says how an attempt counts that was given up since another answered first: it speaks against
 // the target if most answers take less.
-func (p *pace) beaten(took clock.Millis) pool.Outcome {
-	q, known := p.track.Quantile(hedgeShare)
+func (p *routeStats) lostRaceOutcome(took clock.Millis) pool.Outcome {
+	q, known := p.track.Quantile(hedgeQuantile)
 	if !known || took < q {
 		return pool.Abandoned
 	}
--- a/node/services.go
+++ b/node/services.go
@@ -44,7 +44,7 @@
 	// users are other nodes that were heard to use the service.
 	users map[ident.Process]use
 	// paces are how long the requests of each route take.
-	paces map[string]*pace
+	paces map[string]*routeStats
 	// carriers are the nodes that carried the service when last looked at.
 	carriers map[ident.Process]bool
 	// sharers are the nodes that carried the service of late.
@@ -138,7 +138,7 @@
 func (s *services) add(name string) *service {
 	n := s.node
 	r := n.settings().Retries
-	svc := &service{name: name, users: map[ident.Process]use{}, paces: map[string]*pace{}, sharers: assign.NewSharers()}
+	svc := &service{name: name, users: map[ident.Process]use{}, paces: map[string]*routeStats{}, sharers: assign.NewSharers()}
 	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slackShare(svc, true), r.Window.Millis())
 	svc.pool = pool.New(n.tuning, n.clock, newRand(), b, func(w pool.ChangeKind, of ident.Hall) { s.report(svc, w, of) },
 		func(e pool.Event) { s.note(svc, e) })
@@ -148,7 +148,7 @@
 
 // pace returns how long the route's requests take at the service. It keeps no more than maxPaces, and
 // forgets all when there are more: routes come and go.
-func (s *service) pace(route string, c clock.Clock) *pace {
+func (s *service) pace(route string, c clock.Clock) *routeStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.paces[route]
@@ -156,7 +156,7 @@
 		if len(s.paces) >= maxPaces {
 			clear(s.paces)
 		}
-		p = newPace(c)
+		p = newRouteStats(c)
 		s.paces[route] = p
 	}
 	return p
@@ -507,7 +507,7 @@
 		s.node.log.WithFields(logrus.Fields{"event": "target_beliefs", "count": more, "by": "peers"}).Info()
 	}
 	for _, svc := range s.all() {
-		if f := svc.tally.sum(now); f != nil {
+		if f := svc.tally.summary(now); f != nil {
 			st := svc.pool.Stats()
 			f["service"], f["waiting"], f["targets"], f["usable"] = svc.name, st.Waiting, st.Targets, st.Usable
 			s.node.log.WithFields(f).Info()
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -59,7 +59,7 @@
 func (s *suspects) problem(p quarantine.Fingerprint) *Problem {
 	v := s.list.Decide(p)
 	return &Problem{
-		Status: http.StatusServiceUnavailable, Outcome: NotRun, RetryAfter: max(v.RetryAfter, retryPause), fingerprint: p.String(),
+		Status: http.StatusServiceUnavailable, Outcome: NotRun, RetryAfter: max(v.RetryAfter, defaultRetryAfter), fingerprint: p.String(),
 		Detail: fmt.Sprintf("the request is held back: %d targets crashed that ran it", v.Crashes),
 	}
 }
