--- a/node/admit_test.go
+++ b/node/admit_test.go
@@ -24,8 +24,8 @@
 	{Name: "couriers", Keys: []string{courierKey}, Rank: 2, PerSecond: 20, Burst: 10},
 }
 
-// keyed is a state with workspaces, and a public route besides.
-func (f *fleet) keyed(version uint64, list []standin.WorkspaceRow) {
+// configureKeyed is a state with workspaces, and a public route besides.
+func (f *fleet) configureKeyed(version uint64, list []standin.WorkspaceRow) {
 	public := route("/open/", standin.Repeatable, "desk")
 	public.Public = true
 	f.store.ConfigureKeyed(version, []string{"desk"}, list, route("/get/", standin.Repeatable, "desk"), route("/once/", standin.RunOnce, "desk"), public)
@@ -51,8 +51,8 @@
 	return reply{status: res.StatusCode, header: res.Header, took: time.Since(start)}
 }
 
-// proved waits until the nodes can tell how old their keys are.
-func (f *fleet) proved(key string) {
+// awaitKeys waits until the nodes can tell how old their keys are.
+func (f *fleet) awaitKeys(key string) {
 	f.t.Helper()
 	for i, n := range f.nodes {
 		f.eventually(n.name+" takes keys", func() bool {
@@ -66,9 +66,9 @@
 func TestKeysStayHere(t *testing.T) {
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"5s\"\n" })
 	target := f.target("i-1", "desk")
-	f.keyed(3, workspaces)
+	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
-	f.proved(shopKey)
+	f.awaitKeys(shopKey)
 	time.Sleep(time.Second) // the couriers' account fills
 	cases := []struct {
 		name, path string
@@ -140,12 +140,12 @@
 	is := is.New(t)
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"2s\"\n" })
 	target := f.target("i-1", "desk")
-	f.keyed(3, workspaces)
+	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
-	f.proved(shopKey)
+	f.awaitKeys(shopKey)
 	n := f.nodes[0]
 	n.door.SetFaults(standin.Faults{Away: standin.Silent})
-	f.keyed(4, workspaces[1:])
+	f.configureKeyed(4, workspaces[1:])
 	taken := time.Now()
 	ledAway := false
 	var last time.Time
@@ -170,7 +170,7 @@
 	f.eventually("the key is known to be gone", func() bool {
 		return f.callWith(n, "/get/", "gone", "Authorization", "Bearer "+shopKey).status == http.StatusUnauthorized
 	})
-	f.proved(courierKey)
+	f.awaitKeys(courierKey)
 	is.Equal(ran("gone", target), 0)
 }
 
@@ -181,9 +181,9 @@
 	is := is.New(t)
 	f := startFleet(t, 4, &fleet{muffled: true, via: func(store string) string { return store }})
 	f.target("i-1", "desk")
-	f.keyed(3, workspaces[1:])
+	f.configureKeyed(3, workspaces[1:])
 	f.ready(3, 1)
-	f.proved(courierKey)
+	f.awaitKeys(courierKey)
 	for _, n := range f.nodes[1:] {
 		n.door.SetFaults(standin.Faults{Away: standin.Busy})
 	}
@@ -200,7 +200,7 @@
 	told := func(n *testNode) int { return strings.Count(n.log.String(), "event=state_behind") }
 	before := map[*testNode]int{}
 	for _, n := range f.nodes {
-		n.muffler.hush()
+		n.muffler.silence()
 		before[n] = told(n)
 	}
 	large(5, workspaces)
@@ -229,9 +229,9 @@
 	is := is.New(t)
 	f := newFleetWith(t, 6, func(int) string { return "revoke = \"5s\"\n" })
 	f.target("i-1", "desk")
-	f.keyed(3, workspaces)
+	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
-	f.proved(shopKey)
+	f.awaitKeys(shopKey)
 	for _, n := range f.nodes[1:] {
 		n.door.SetFaults(standin.Faults{Away: standin.Busy})
 	}
@@ -256,9 +256,9 @@
 	is := is.New(t)
 	f := newFleet(t, 4)
 	target := f.target("i-1", "desk")
-	f.keyed(3, workspaces)
+	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
-	f.proved(shopKey)
+	f.awaitKeys(shopKey)
 	time.Sleep(2500 * time.Millisecond) // accounts fill from the start
 	var wg sync.WaitGroup
 	begun := time.Now()
--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -13,9 +13,9 @@
 	"github.com/tinladder/tinladder/trace"
 )
 
-// story explains a request from the logs of all nodes, as the operators' page says, once a line
+// explain explains a request from the logs of all nodes, as the operators' page says, once a line
 // tells how it ended.
-func (f *fleet) story(request string) trace.Story {
+func (f *fleet) explain(request string) trace.Story {
 	f.t.Helper()
 	var s trace.Story
 	f.eventually("the log tells of "+request, func() bool {
@@ -61,7 +61,7 @@
 			id := fmt.Sprint("id-", i)
 			r := f.call(f.nodes[0], c.method, c.path, id, "x")
 			is.Equal(r.status, c.status)
-			s := f.story(id)
+			s := f.explain(id)
 			is.Equal(s.Cause, c.cause)
 			if !strings.Contains(s.Said, c.said) {
 				t.Errorf("%q is not in %q", c.said, s.Said)
@@ -89,7 +89,7 @@
 	})
 	var s trace.Story
 	f.eventually("the silent attempt is in the story", func() bool {
-		s = f.story(hedged)
+		s = f.explain(hedged)
 		return strings.Contains(s.Said, "i-1 ")
 	})
 	is.Equal(s.Cause, "served")
@@ -120,7 +120,7 @@
 	}
 	wg.Wait()
 	is.True(refused != "")
-	s := f.story(refused)
+	s := f.explain(refused)
 	is.Equal(s.Cause, "queue")
 	is.True(strings.Contains(s.Said, "has not run; the caller was told to come back in"))
 	is.Equal(ran(refused, target), 0)
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -38,7 +38,7 @@
 	via func(store string) string
 	// linkBytes is how many bytes a second each node's link carries; 0 is no bound.
 	linkBytes int
-	// muffled has others' connections to each node go through a muffler.
+	// muffled has others' connections to each node go through a silencingProxy.
 	muffled bool
 	// operated has nodes serve operators, and follow documents.
 	operated bool
@@ -59,7 +59,7 @@
 	// peersAt is where the node listens for others, if a relay stands before it.
 	peersAt string
 	link    *emulate.Link
-	muffler *muffler
+	muffler *silencingProxy
 	// relay is the way of others to a node with a link.
 	relay *emulate.Relay
 	// more is added to the node's settings.
@@ -154,7 +154,7 @@
 			f.t.Cleanup(r.Close)
 		}
 		if f.muffled {
-			n.peersAt, n.muffler = free[4], newMuffler(f.t, free[4])
+			n.peersAt, n.muffler = free[4], newSilencingProxy(f.t, free[4])
 			r, err := emulate.NewRelay(n.peers, n.peersAt, n.peers, n.muffler.address())
 			if err != nil {
 				f.t.Fatal(err)
--- a/node/leave_body_test.go
+++ b/node/leave_body_test.go
@@ -61,7 +61,7 @@
 			_, err = io.Copy(io.Discard, res.Body)
 			is.NoErr(err)
 			is.Equal(res.StatusCode, c.status)
-			if promise(c.status) {
+			if impliesNotRun(c.status) {
 				is.Equal(ran(c.name, target), 0)
 			}
 			<-n.node.Done()
--- a/node/request_test.go
+++ b/node/request_test.go
@@ -87,7 +87,7 @@
 			r := f.call(f.nodes[0], http.MethodPost, "/once/", "x", "pay")
 			is.Equal(r.status, c.status)
 			is.Equal(ran("x", target), c.ran)
-			if promise(r.status) {
+			if impliesNotRun(r.status) {
 				is.Equal(ran("x", target), 0)
 			}
 			is.True(r.took < 1300*time.Millisecond) // the route's time and a little
@@ -95,8 +95,8 @@
 	}
 }
 
-// promise says whether the status tells a caller that its request has not run.
-func promise(status int) bool {
+// impliesNotRun says whether the status tells a caller that its request has not run.
+func impliesNotRun(status int) bool {
 	return status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest ||
 		status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
@@ -173,7 +173,7 @@
 						crossed = append(crossed, id+" got "+r.body)
 					}
 				}
-				if promise(r.status) && ran(id, targets...) > 0 {
+				if impliesNotRun(r.status) && ran(id, targets...) > 0 {
 					crossed = append(crossed, id+" ran and was told that it had not")
 				}
 				if method == http.MethodPost && ran(id, targets...) > 1 {
--- a/node/silent_test.go
+++ b/node/silent_test.go
@@ -12,39 +12,39 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// A muffler passes connections on. Those that are open when it is told to hush go silent for good, without
+// A silencingProxy passes connections on. Those that are open when it is told to hush go silent for good, without
 // an end, while new ones work.
-type muffler struct {
+type silencingProxy struct {
 	listener net.Listener
 	to       string
 
 	mu    sync.Mutex
-	conns []*muffled
+	conns []*proxiedConn
 }
 
-// muffled is one connection, both ways.
-type muffled struct {
+// proxiedConn is one connection, both ways.
+type proxiedConn struct {
 	near, far net.Conn
 	silent    chan struct{}
 }
 
-func newMuffler(t testing.TB, to string) *muffler {
+func newSilencingProxy(t testing.TB, to string) *silencingProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &muffler{listener: l, to: to}
+	m := &silencingProxy{listener: l, to: to}
 	t.Cleanup(m.close)
 	go m.accept()
 	return m
 }
 
-func (m *muffler) address() string {
+func (m *silencingProxy) address() string {
 	return m.listener.Addr().String()
 }
 
-func (m *muffler) accept() {
+func (m *silencingProxy) accept() {
 	for {
 		near, err := m.listener.Accept()
 		if err != nil {
@@ -55,17 +55,17 @@
 			_ = near.Close()
 			continue
 		}
-		c := &muffled{near: near, far: far, silent: make(chan struct{})}
+		c := &proxiedConn{near: near, far: far, silent: make(chan struct{})}
 		m.mu.Lock()
 		m.conns = append(m.conns, c)
 		m.mu.Unlock()
-		go c.pass(near, far)
-		go c.pass(far, near)
+		go c.copyUntilSilent(near, far)
+		go c.copyUntilSilent(far, near)
 	}
 }
 
-// pass copies until the connection is silent: from then on it reads, and hands nothing on.
-func (c *muffled) pass(from, to net.Conn) {
+// copyUntilSilent copies until the connection is silent: from then on it reads, and hands nothing on.
+func (c *proxiedConn) copyUntilSilent(from, to net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -87,8 +87,8 @@
 	}
 }
 
-// hush makes all open connections silent, and returns how many.
-func (m *muffler) hush() int {
+// silence makes all open connections silent, and returns how many.
+func (m *silencingProxy) silence() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.conns {
@@ -99,7 +99,7 @@
 	return n
 }
 
-func (m *muffler) close() {
+func (m *silencingProxy) close() {
 	_ = m.listener.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,9 +115,9 @@
 	is := is.New(t)
 	f := newFleet(t, 1)
 	targets := []*standin.Target{f.target("i-1", "desk"), f.target("i-2", "desk")}
-	var mufflers []*muffler
+	var mufflers []*silencingProxy
 	for _, target := range targets {
-		m := newMuffler(t, target.Address())
+		m := newSilencingProxy(t, target.Address())
 		mufflers = append(mufflers, m)
 		f.store.Put("servers", target.ID, standin.TargetRow(m.address(), "desk", "h0", "ready", 3))
 	}
@@ -141,7 +141,7 @@
 	crowd(http.MethodGet, "/get/", "warm")
 	open := 0
 	for _, m := range mufflers {
-		open += m.hush()
+		open += m.silence()
 	}
 	is.True(open >= 4)
 	lost := 0
@@ -153,7 +153,7 @@
 	is.True(lost <= len(targets)) // one for each target, whose other connections are given up with it
 	crowd(http.MethodGet, "/get/", "again")
 	for _, m := range mufflers {
-		m.hush()
+		m.silence()
 	}
 	is.Equal(f.call(f.nodes[0], http.MethodGet, "/get/", "repeatable", "").status, http.StatusOK)
 }
@@ -161,9 +161,9 @@
 // TestSilentConnectionsToTheStore lets a node's connections to the store go silent. It has the next desired
 // state within the time that a call may take and the wait of its question.
 func TestSilentConnectionsToTheStore(t *testing.T) {
-	var way *muffler
+	var way *silencingProxy
 	f := newFleetVia(t, 1, func(store string) string {
-		way = newMuffler(t, store)
+		way = newSilencingProxy(t, store)
 		return way.address()
 	})
 	n := f.nodes[0]
@@ -171,7 +171,7 @@
 	f.calm(3)
 	f.ready(3, 1)
 	time.Sleep(500 * time.Millisecond) // its question waits at the store
-	if way.hush() == 0 {
+	if way.silence() == 0 {
 		t.Fatal("no connection was open")
 	}
 	f.calm(4)
@@ -197,7 +197,7 @@
 	f.inForceWithin(4, f.grown(4, 600, false), 5*time.Second) // connections are open, and rest
 	open := 0
 	for _, n := range f.nodes {
-		open += n.muffler.hush()
+		open += n.muffler.silence()
 	}
 	if open == 0 {
 		t.Fatal("no connection was open")
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -34,11 +34,11 @@
 	n.clock = woken
 	f.start(n)
 	target := f.target("i-1", "desk")
-	f.keyed(3, workspaces)
+	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
-	f.proved(shopKey)
+	f.awaitKeys(shopKey)
 	n.door.SetFaults(standin.Faults{Away: standin.Reset})
-	f.keyed(4, workspaces[1:])
+	f.configureKeyed(4, workspaces[1:])
 	woken.slept.Add(int64(6 * clock.Second))
 	for i := range 5 {
 		is.Equal(f.callWith(n, "/get/", fmt.Sprint("woken-", i), "Authorization", "Bearer "+shopKey).status, http.StatusServiceUnavailable)
@@ -48,5 +48,5 @@
 	f.eventually("the key is known to be gone", func() bool {
 		return f.callWith(n, "/get/", "gone", "Authorization", "Bearer "+shopKey).status == http.StatusUnauthorized
 	})
-	f.proved(courierKey)
+	f.awaitKeys(courierKey)
 }
