--- a/node/front.go
+++ b/node/front.go
@@ -12,19 +12,19 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// notReadyRetryAfter is what callers are told when this node knows no desired state.
+// notReadyRetryAfter is the retry delay while this node has no usable desired state.
 const notReadyRetryAfter clock.Millis = 500
 
-// leavingRetryAfter is what callers of a node that is about to end are told: another one takes them at once.
+// leavingRetryAfter is the retry delay while this node shuts down. It is short since other nodes accept requests at once.
 const leavingRetryAfter clock.Millis = 100
 
-// ambiguousRoute is what callers are told whose path a target may read as one of another route.
+// ambiguousRoute is the error detail for a path that a target may interpret as belonging to another route.
 const ambiguousRoute = "the path leads to another route once it is decoded and its dots are resolved"
 
-// ownPathPrefix is where the fleet's own interface is asked.
+// ownPathPrefix is the path prefix of the fleet's own API.
 const ownPathPrefix = "/.tinladder/"
 
-// serve serves a caller, of the users' platform or of the fleet's own interface.
+// serve handles a request on the callers' listener, of the users' platform or of the fleet's own API.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
 	n.leaving.enter()
 	defer n.leaving.exit()
@@ -48,9 +48,9 @@
 	}
 }
 
-// servePlatform serves a caller of the users' platform, by host and path.
+// servePlatform handles a request of the users' platform, routed by host and path.
 func (n *Node) servePlatform(w http.ResponseWriter, r *http.Request) {
-	start := n.clock.Now() // no later than what is taken of a limit: what is given back then is never more
+	start := n.clock.Now() // before the request is charged to a limit, so that a refund never exceeds the charge
 	x, problem := n.platformExchange(w, r)
 	if problem != nil {
 		problem.fractionalSeconds = n.platform.Speech.Headers.FractionalRetryAfter
@@ -64,7 +64,7 @@
 	x.serve(limitTicket{table: n.quotas.table, workspace: x.workspace.Name, at: start})
 }
 
-// platformExchange returns the exchange for a request that may go to a target, or why it may not.
+// platformExchange returns the exchange for a request that is admitted, or the problem with it.
 func (n *Node) platformExchange(w http.ResponseWriter, r *http.Request) (*exchange, *Problem) {
 	t := n.records.await(r)
 	if t == nil {
@@ -98,17 +98,19 @@
 	return x, nil
 }
 
-// isOutdated says whether there is a newer desired state than this one: another node is known to hold one, or it came as
-// the request was looked at.
+// isOutdated reports whether there is a newer desired state than t: another node is known to hold one, or this node
+// loaded one since the request began.
 func (n *Node) isOutdated(t *desired.Table) bool {
 	return n.lag.lacks(store.State) || n.records.table.Load() != t
 }
 
-// mayBeOutdated says whether a newer desired state than this one may have to be in force here: there is one, or word that
-// the store held none is older than the platform allows. That word's age is told, and grows younger while it waits in the
-// buffers of a node that is busy, so the store's own clock bounds it too, where that shows: by the wait of a watcher's
-// question more, since an answer may show the reading of when the question came. Without this a node refuses with 404
-// what a state allows that it should have had seconds before.
+// mayBeOutdated reports whether a newer desired state than t may already have to be in force here: there is one, or the
+// last confirmation that the store holds none is older than the platform allows. Without this check a node would refuse
+// with 404 requests that a state allows which it should have had seconds before.
+//
+// The age of a confirmation is a relative value that is understated while the message waits in the buffers of a busy
+// node. The store's own clock therefore bounds it too, where available; that bound is longer by one long poll, since a
+// response may carry the clock reading of when its poll arrived.
 func (n *Node) mayBeOutdated(t *desired.Table) bool {
 	if n.isOutdated(t) {
 		return true
@@ -118,7 +120,8 @@
 	return n.duty.age(store.State) > bound || proved && age > bound+watchWait
 }
 
-// routeFor returns the route of the request, if it can be used and no reader of the path would find another one.
+// routeFor returns the route of the request. It refuses routes that cannot be used, and paths that lead to another route
+// once they are normalized.
 func routeFor(t *desired.Table, r *http.Request) (*desired.Route, *Problem) {
 	path := r.URL.EscapedPath()
 	route := t.Find(r.Host, path)
@@ -134,7 +137,7 @@
 	return route, nil
 }
 
-// checkSizes holds the request to the desired state's limits on sizes.
+// checkSizes enforces the desired state's limits on the sizes of header and body.
 func checkSizes(l desired.Limits, r *http.Request) *Problem {
 	if l.HeaderBytes > 0 && headerBytes(r) > l.HeaderBytes {
 		return &Problem{Status: http.StatusRequestHeaderFieldsTooLarge, Detail: "the header is too large"}
@@ -149,7 +152,7 @@
 	return nil
 }
 
-// headerBytes is the size of a request's line and header as it was sent.
+// headerBytes returns the size of the request line and header as sent.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len("  \r\n")
 	n += len("Host: \r\n") + len(r.Host)
@@ -161,7 +164,7 @@
 	return n
 }
 
-// refuse answers a request that leads nowhere.
+// refuse responds to a request that is not sent to any target, and logs why.
 func (n *Node) refuse(w http.ResponseWriter, r *http.Request, p Problem) {
 	if p.Outcome == "" {
 		p.Outcome = NotRun
@@ -171,8 +174,8 @@
 		w.Header().Set(HeaderRequestID, id)
 	}
 	if r.ContentLength != 0 {
-		// The library reads a short body to its end before it sends an answer, and would wait for one that never comes, or
-		// beyond the node's end.
+		// net/http reads a short body to its end before it sends a response. Without a deadline it would wait for a body
+		// that never comes, or beyond the node's shutdown.
 		rest := callerGrace
 		if n.leaving.ends() {
 			rest = 0
@@ -198,7 +201,7 @@
 	return 0
 }
 
-// readinessHandler tells the platform whether callers may be sent here.
+// readinessHandler serves the platform's readiness check.
 func (n *Node) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != n.platform.Speech.ReadyPath {
@@ -213,7 +216,7 @@
 	})
 }
 
-// notReadyReason says why callers may not be sent here, or nothing.
+// notReadyReason returns why callers must not be sent to this node, or "" if they may.
 func (n *Node) notReadyReason() string {
 	switch {
 	case n.leaving.started():
