--- a/node/exchange.go
+++ b/node/exchange.go
@@ -20,35 +20,34 @@
 )
 
 const (
-	// timeoutBlameFactor is how many times as long as usual an attempt must have had to be held against its
-	// target when time runs out.
+	// timeoutBlameFactor times the service time must have passed for a time-out to count against the target.
 	timeoutBlameFactor = 2
 )
 
-// A ticket is told how a run-once request ended.
+// A ticket is notified of how a request ended: a response, not run, or unknown.
 type ticket interface {
 	Complete(a *once.Response)
 	Void()
 	Unknown()
 }
 
-// noTicket stands for requests without a key.
+// noTicket is the ticket of requests whose end nobody tracks.
 type noTicket struct{}
 
 func (noTicket) Complete(*once.Response) {}
 func (noTicket) Void()                   {}
 func (noTicket) Unknown()                {}
 
-// An exchange is one request on its way through this node.
+// An exchange is the state of one request while this node handles it.
 type exchange struct {
 	node    *Node
 	w       http.ResponseWriter
 	r       *http.Request
 	route   *desired.Route
 	headers forward.Headers
-	// workspace is in whose name the request runs; nil if it needs no key.
+	// workspace is the workspace that the request's key belongs to; nil if it needs no key.
 	workspace *access.Workspace
-	// stripKey says that callers show keys, which no target may see.
+	// stripKey is set if callers send access keys, which must not reach targets.
 	stripKey bool
 	service  *service
 	stats    *routeStats
@@ -57,27 +56,27 @@
 	deadline clock.Millis
 	body     []byte
 	stream   io.Reader
-	// head is the first part of a body that is streamed.
+	// head is the start of a body that is streamed, for its fingerprint.
 	head []byte
-	// owner is the workspace, and on the fleet's own interface the service, that the request names by its key or token.
+	// owner is the workspace that the request's key belongs to; on the fleet's own API it is the service.
 	owner         string
 	fingerprinted fingerprintsOnce
-	// allowedHalls are those whose targets may have the request; nil stands for all.
+	// allowedHalls are the halls whose targets may get the request; nil allows all.
 	allowedHalls map[ident.Hall]bool
-	// usedLease is the attempt whose answer is passed on.
+	// usedLease is the lease of the attempt whose response is sent to the caller.
 	usedLease *pool.Lease
-	// verdict is how the quarantine has it treated.
+	// verdict is what quarantine decided on the request.
 	verdict quarantine.Verdict
 	tried   []ident.Target
-	// lastReason says lastReason the last of them was chosen.
+	// lastReason is why the last of them was chosen.
 	lastReason pool.Reason
 	// ran counts the attempts that a target may have run.
 	ran int
-	// waited is how long the request waited for slots, in all.
+	// waited is the total time that the request waited for slots.
 	waited clock.Millis
-	// retryAfter is when the caller was told to come back.
+	// retryAfter is the retry delay that was sent to the caller.
 	retryAfter clock.Millis
-	// lastShed says that the last target turned the request away.
+	// lastShed is set if the last target refused the request without running it.
 	lastShed bool
 }
 
@@ -98,7 +97,7 @@
 	return x
 }
 
-// serve makes attempts until one ends the request, and tells the ticket how it ended.
+// serve makes attempts until one ends the request, and notifies the ticket of how it ended.
 func (x *exchange) serve(t ticket) {
 	x.setCallerDeadlines()
 	if err := x.readBody(); err != nil {
@@ -128,7 +127,7 @@
 	}
 }
 
-// checkLeaving returns a problem if the request could last beyond this node's end.
+// checkLeaving returns a problem if the request could outlast this node's shutdown.
 func (x *exchange) checkLeaving(o Outcome) *Problem {
 	if !x.node.leaving.late(x.deadline - x.began) {
 		return nil
@@ -140,13 +139,14 @@
 	return &Problem{Status: http.StatusServiceUnavailable, Outcome: o, RetryAfter: leavingRetryAfter, Detail: "this node is about to end; ask another one"}
 }
 
-// callerLeft says whether nobody waits for the answer. A node that ends stops reading, which looks the same from here.
+// callerLeft reports whether the caller has gone. A node that is shutting down stops reading, which also cancels the
+// request's context, so that case is excluded.
 func (x *exchange) callerLeft() bool {
 	return x.r.Context().Err() != nil && !x.node.leaving.ends()
 }
 
-// acquire waits for a target, for as long as the caller does: a request that was not sent is not sent
-// once its caller has left, whatever its kind.
+// acquire waits for a target for as long as the caller does: no request is sent after its caller has left, whether
+// repeatable or not.
 func (x *exchange) acquire() (*pool.Lease, error) {
 	ctx, cancel := x.within(x.r.Context())
 	defer cancel()
@@ -163,7 +163,7 @@
 	}
 }
 
-// priority says who waits when there is too much work: workspaces that have one of their own, before what their routes say.
+// priority returns the request's priority in the queue, 0 first: that of the workspace, or else that of the route.
 func (x *exchange) priority() uint32 {
 	if x.workspace != nil {
 		return x.workspace.Priority
@@ -171,8 +171,8 @@
 	return x.route.Priority
 }
 
-// context ends at the deadline, and when the caller of a repeatable request leaves. A request that
-// runs once goes on: nobody could tell whether it ran.
+// context returns a context that ends at the deadline, and for a repeatable request also when the caller leaves. A
+// run-once request is not canceled, since it would be unknown then whether it ran.
 func (x *exchange) context() (context.Context, context.CancelFunc) {
 	ctx := x.r.Context()
 	if !x.route.Repeatable {
@@ -181,7 +181,7 @@
 	return x.within(ctx)
 }
 
-// within returns a context that ends at the deadline, or as the node ends.
+// within returns a context that ends at the deadline, or when the node shuts down.
 func (x *exchange) within(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, end := x.node.leaving.during(ctx)
 	ctx, cancel := context.WithTimeout(ctx, (x.deadline - x.node.clock.Now()).Duration())
@@ -191,8 +191,8 @@
 	}
 }
 
-// attempt sends the request to a target, and learns from how it ends. It may run beside another attempt
-// of the request, and on after the request's end.
+// attempt sends the request to a target and records the outcome. It may run in parallel to another attempt of the
+// request, and may outlast the request.
 func (x *exchange) attempt(ctx context.Context, t plannedAttempt) attemptEnd {
 	from := x.node.clock.Now()
 	a, err := x.node.conns.Send(ctx, t.lease.Address, t.request)
@@ -209,7 +209,7 @@
 	}
 	t.lease.Done(e.outcome, a != nil && x.targetClosing(a))
 	if e.outcome == pool.Late || e.outcome == pool.ConnectionLost {
-		// The target's other connections may be silent too: one request is lost by them, not one by each.
+		// The target's other connections may be dead too. Closing them loses one request in all, rather than one on each.
 		x.node.conns.CloseIdle(t.lease.Address)
 	}
 	x.stats.addAttempt(e, t.request, took)
@@ -220,7 +220,7 @@
 	return e
 }
 
-// countAttempt notes an attempt that has ended.
+// countAttempt records whether a target may have run the request in an attempt that has ended.
 func (x *exchange) countAttempt(e attemptEnd) {
 	x.lastShed = e.outcome == pool.Shed || e.outcome == pool.Replaced
 	if !x.lastShed && e.outcome != pool.Unreachable {
@@ -228,29 +228,29 @@
 	}
 }
 
-// targetClosing says whether the answer says that the target closes its connections.
+// targetClosing reports whether the response announces that the target is closing its connections.
 func (x *exchange) targetClosing(a *forward.Response) bool {
 	return a.Closing || x.headers.Leaving != "" && a.Header.Get(x.headers.Leaving) != ""
 }
 
-// notRun says whether the target says that it did not run the request.
+// notRun reports whether the target declares that it did not run the request.
 func (x *exchange) notRun(a *forward.Response) bool {
 	return x.headers.NotRun != "" && a.Header.Get(x.headers.NotRun) != "" ||
 		x.headers.Instance != "" && a.Status == http.StatusMisdirectedRequest
 }
 
-// outcome says how an attempt ended that took so long.
+// outcome classifies an attempt that has ended.
 func (x *exchange) outcome(ctx context.Context, a *forward.Response, err error, l *pool.Lease, took clock.Millis) pool.Outcome {
 	timeout := err != nil && x.node.clock.Now() >= x.deadline-deadlineMargin || err == nil && a.Status == http.StatusGatewayTimeout
 	switch {
 	case errors.Is(err, forward.ErrRequestBody):
-		return pool.Abandoned // by no fault of the target
+		return pool.Abandoned // not the target's fault
 	case err != nil && errors.Is(context.Cause(ctx), errLostRace):
 		return x.stats.lostRaceOutcome(took)
 	case err != nil && errors.Is(context.Cause(ctx), errEnding):
 		return pool.Abandoned
 	case timeout && took < l.ServiceTime()*timeoutBlameFactor:
-		return pool.Abandoned // it had no fair chance
+		return pool.Abandoned // too little time was left for the target to respond
 	case timeout:
 		return pool.Late
 	case err != nil && x.r.Context().Err() != nil && x.route.Repeatable:
@@ -271,12 +271,12 @@
 	return pool.Good
 }
 
-// policy is what the request allows.
+// policy returns which attempts the request allows.
 func (x *exchange) policy() attempt.Policy {
 	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.MaxAttempts, SingleTarget: x.sole()}
 }
 
-// progress is how far the request has come.
+// progress returns the request's progress so far.
 func (x *exchange) progress() attempt.Progress {
 	return attempt.Progress{
 		Ran: x.ran, Tried: len(x.tried), TimeLeft: x.deadline - x.node.clock.Now(), TypicalTime: x.service.pool.ServiceTime(),
@@ -284,7 +284,7 @@
 	}
 }
 
-// attemptResult says how an attempt ended, as far as it decides what follows.
+// attemptResult returns what the decision on the next step needs of an attempt's end.
 func (x *exchange) attemptResult(a *forward.Response, err error) attempt.Result {
 	if err != nil {
 		return attempt.Result{Unsent: !errors.Is(err, forward.ErrSent)}
@@ -294,7 +294,7 @@
 	}
 }
 
-// finish answers the caller if the attempt ends the request, and says whether it did.
+// finish responds to the caller if the attempt ends the request, and reports whether it did.
 func (x *exchange) finish(a *forward.Response, err error, t ticket) bool {
 	step := x.policy().Next(x.attemptResult(a, err), x.progress(), x.allowRetry)
 	if step != attempt.Respond {
@@ -315,7 +315,7 @@
 	return true
 }
 
-// allowRetry says whether the fleet may make one allowRetry attempt, and counts it.
+// allowRetry takes one attempt from the retry budget, and reports whether the budget allows it.
 func (x *exchange) allowRetry() bool {
 	allowed := x.service.pool.RetryBudget().Allow()
 	x.node.metrics.again(allowed)
