--- a/node/race.go
+++ b/node/race.go
@@ -12,42 +12,41 @@
 )
 
 const (
-	// hedgeRetryInterval is how soon a second attempt is tried again that found no free slot.
+	// hedgeRetryInterval is how soon a hedge is tried again that found no free slot or too little budget.
 	hedgeRetryInterval clock.Millis = 40
-	// hedgeReserve are further attempts that hedges leave for requests that fail.
+	// hedgeReserve is the number of retries in the budget that hedges leave for requests that fail.
 	hedgeReserve = 1
 )
 
-// errLostRace ends an attempt whose request another attempt has answered.
+// errLostRace is the cancellation cause of an attempt when another one has responded first.
 var errLostRace = errors.New("another attempt answered first")
 
-// An attemptEnd is how one attempt ended.
+// An attemptEnd is the result of one attempt.
 type attemptEnd struct {
 	lease    *pool.Lease
 	response *forward.Response
 	err      error
 	outcome  pool.Outcome
-	// probe is what was found at the target's address after a connection was lost.
+	// probe is the result of probing the target's address after a connection was lost.
 	probe forward.ProbeResult
 }
 
-// A plannedAttempt is one attempt before it is made.
+// A plannedAttempt is an attempt that has not been sent yet.
 type plannedAttempt struct {
 	lease   *pool.Lease
 	request *forward.Request
-	// waited is how long the request had waited for slots.
+	// waited is how long the request has waited for slots so far, in all.
 	waited clock.Millis
 }
 
-// planAttempt returns the planAttempt attempt, at the lease's target.
+// planAttempt prepares the next attempt, at the lease's target.
 func (x *exchange) planAttempt(l *pool.Lease) plannedAttempt {
 	x.tried, x.lastReason = append(x.tried, l.Target), l.Reason
 	return plannedAttempt{lease: l, request: x.targetRequest(l), waited: x.waited}
 }
 
-// race makes an attempt, and a second one beside it if the first takes long and the request may be
-// repeated. The first good answer wins; the other attempt is ended. If none is good it returns the one
-// that ended last.
+// race makes an attempt and, if that takes long and the request is repeatable, a second one in parallel (a hedge). The
+// first good response wins, and the other attempt is canceled. If none is good it returns the result that came last.
 func (x *exchange) race(ctx context.Context, l *pool.Lease) (*forward.Response, error) {
 	if !x.mayHedge() {
 		e := x.attempt(ctx, x.planAttempt(l))
@@ -80,16 +79,16 @@
 	}
 }
 
-// mayHedge says whether two attempts of the request may run at once.
+// mayHedge reports whether two attempts of the request may run in parallel.
 func (x *exchange) mayHedge() bool {
 	return x.policy().CanHedge(x.ran) && x.service.pool.Hedges()
 }
 
-// hedge returns a lease for a second attempt, or nil if no slot is free or the budget is needed for
-// requests that have failed.
+// hedge returns a lease for a second attempt. It returns nil if no slot is free, or if the budget is needed for requests
+// that have failed.
 func (x *exchange) hedge() *pool.Lease {
 	b := x.service.pool.RetryBudget()
-	if b.Remaining() < hedgeReserve || x.sole() { // of its like, targets may have crashed since it began
+	if b.Remaining() < hedgeReserve || x.sole() { // similar requests may have crashed targets since this one began
 		return nil
 	}
 	a := x.poolRequest()
@@ -106,7 +105,7 @@
 	return l
 }
 
-// parallelAttempts are the attempts of one request that run at the same time.
+// parallelAttempts are the attempts of one request that run in parallel.
 type parallelAttempts struct {
 	exchange *exchange
 	ends     chan attemptEnd
@@ -114,7 +113,7 @@
 	running  int
 }
 
-// start makes one more attempt.
+// start makes one more attempt, in a goroutine of its own.
 func (r *parallelAttempts) start(ctx context.Context, l *pool.Lease) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	if r.cancels == nil {
@@ -126,8 +125,8 @@
 	go func() { r.ends <- r.exchange.attempt(ctx, t) }()
 }
 
-// stop ends the attempts that are still on their way. The context of the one that is used stays, since
-// its answer may not be read yet; it ends with the request's.
+// stop cancels all attempts but the one that is used. That one's context lives on until the request's ends, since its
+// response may not have been read yet.
 func (r *parallelAttempts) stop(used attemptEnd) {
 	for l, cancel := range r.cancels {
 		if l != used.lease {
