--- a/node/pace.go
+++ b/node/pace.go
@@ -9,7 +9,7 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// A routeStats is how long the requests of one route take at one service, and how large they are.
+// routeStats tracks the latency and size of the requests of one route to one service.
 type routeStats struct {
 	track *latency.Tracker
 
@@ -22,23 +22,22 @@
 }
 
 const (
-	// hedgeQuantile is the share of good answers that come sooner than a second attempt is made.
+	// hedgeQuantile is the quantile of latency after which a second attempt is made.
 	hedgeQuantile = 0.9
-	// hedgeDelayFactor is how many times as long as usual an attempt is waited for while too few answers of
-	// its kind are known.
+	// hedgeDelayFactor times the service time is waited instead while too few latencies are known.
 	hedgeDelayFactor = 2
-	// bytesSmoothing is the part of a new size in the running mean, 1/8.
+	// bytesSmoothing is the divisor of an exponential moving average: a new size counts for 1/8.
 	bytesSmoothing = 8
 )
 
-// meanSize returns how large a request and its answer usually are.
+// meanSize returns the moving average of the size of a request and its response.
 func (p *routeStats) meanSize() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meanBytes
 }
 
-// addSize takes in the size of a request and its answer.
+// addSize adds the size of a request and its response.
 func (p *routeStats) addSize(n int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +48,7 @@
 	p.meanBytes += (float64(n) - p.meanBytes) / bytesSmoothing
 }
 
-// hedgeDelay is how long an attempt is waited for before a second one is made beside it.
+// hedgeDelay returns how long to wait for an attempt before a second one is made in parallel.
 func (p *routeStats) hedgeDelay(usual clock.Millis) clock.Millis {
 	if q, known := p.track.Quantile(hedgeQuantile); known {
 		return q
@@ -57,7 +56,7 @@
 	return hedgeDelayFactor * usual
 }
 
-// addAttempt counts a good answer.
+// addAttempt adds the latency and size of an attempt, if its response was good.
 func (p *routeStats) addAttempt(e attemptEnd, r *forward.Request, took clock.Millis) {
 	if e.outcome != pool.Good {
 		return
@@ -66,8 +65,8 @@
 	p.addSize(max(r.Length, 0) + int64(len(e.response.Body)) + max(e.response.Length, 0))
 }
 
-// lostRaceOutcome says how an attempt counts that was given up since another answered first: it speaks against
-// the target if most answers take less.
+// lostRaceOutcome returns the outcome of an attempt that was canceled since another one responded first. It counts
+// against the target if most responses take less time.
 func (p *routeStats) lostRaceOutcome(took clock.Millis) pool.Outcome {
 	q, known := p.track.Quantile(hedgeQuantile)
 	if !known || took < q {
