--- a/node/outgoing.go
+++ b/node/outgoing.go
@@ -21,31 +21,30 @@
 )
 
 const (
-	// maxBufferedBody is the largest body of a request that is kept, so that it can be sent again.
+	// maxBufferedBody is the largest request body that is buffered, so that it can be sent again.
 	maxBufferedBody = 64 << 10
-	// maxFingerprintedBody is how much of a larger body a request is known by.
+	// maxFingerprintedBody is how much of a larger body goes into the request's fingerprint.
 	maxFingerprintedBody = 4 << 10
-	// deadlineMargin is how much sooner than a caller's time is over a target is told to end.
+	// deadlineMargin is how long before the caller's deadline the target's deadline is set.
 	deadlineMargin clock.Millis = 5
-	// callerGrace is how much longer than a request's deadline a caller may take to send it or to
-	// read its answer.
+	// callerGrace is how long after a request's deadline a caller may still send it or read its response.
 	callerGrace clock.Millis = 500
-	// maxIdleRepeatable and maxIdleOnce are how long a connection may have rested for a request. A
-	// target may have forgotten one that rested long, and a run-once request would be lost on it.
+	// maxIdleRepeatable and maxIdleOnce are how long a connection may have been idle when a request is sent on it. A
+	// target may have dropped a connection that was idle for long, and a run-once request would be lost on it.
 	maxIdleRepeatable = 30 * clock.Second
 	maxIdleOnce       = 5 * clock.Second
 )
 
-// setCallerDeadlines bounds how long a caller may take to send its request and to read its answer, so that
-// a slow one cannot hold a target's slot. The bounds hold until the connection's next request.
+// setCallerDeadlines bounds how long a caller may take to send its request and to read its response, so that a slow one
+// cannot hold a target's slot. The bounds apply until the connection's next request.
 func (x *exchange) setCallerDeadlines() {
 	rc := http.NewResponseController(x.w)
 	end := time.Now().Add((x.deadline - x.began + callerGrace).Duration())
-	_ = rc.SetReadDeadline(end) // not every kind of connection has deadlines
+	_ = rc.SetReadDeadline(end) // not all connections support deadlines
 	_ = rc.SetWriteDeadline(end)
 }
 
-// readBody reads a small body whole; a large one is streamed, once.
+// readBody buffers a small body. A large one is streamed, and can be sent only once.
 func (x *exchange) readBody() (err error) {
 	if x.r.ContentLength == 0 {
 		return nil
@@ -63,8 +62,8 @@
 	return err
 }
 
-// readUpTo reads a body, or so much of it. What is still on its way as the node ends is not waited for: its caller is to be
-// answered.
+// readUpTo reads at most limit bytes of a body. When the node shuts down it stops waiting for the rest, so that the
+// caller still gets a response.
 func (x *exchange) readUpTo(body io.Reader, limit int) ([]byte, error) {
 	cut := make(chan struct{})
 	stop := context.AfterFunc(x.node.leaving.ending, func() {
@@ -78,8 +77,8 @@
 	return b, err
 }
 
-// rejectBody tells of a body that could not be read. What was sent of it to a target is no whole request, but a target may
-// have run it.
+// rejectBody responds to a request whose body could not be read. If a part of it was sent to a target, that was no
+// complete request, but the target may have run it; o says so.
 func (x *exchange) rejectBody(err error, o Outcome) {
 	p := bodyProblem(err)
 	if p == nil {
@@ -90,16 +89,16 @@
 	switch {
 	case p.Status != http.StatusRequestTimeout:
 	case o != NotRun:
-		p.Status = http.StatusGatewayTimeout // the other one would promise that nothing has run
+		p.Status = http.StatusGatewayTimeout // 408 would imply that the request has not run
 	case x.node.leaving.ends():
 		p = leavingProblem(o)
 	}
-	x.w.Header().Set("Connection", "close") // nobody knows where the next request begins
+	x.w.Header().Set("Connection", "close") // the start of the next request is unknown
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(callerGrace.Duration()))
 	x.node.refuse(x.w, x.r, *p)
 }
 
-// bodyProblem says what is wrong with a caller's body; nil if the caller broke off.
+// bodyProblem returns the problem with a caller's body; nil if the caller closed the connection.
 func bodyProblem(err error) *Problem {
 	var large *http.MaxBytesError
 	var network *net.OpError
@@ -127,7 +126,7 @@
 		h.Set(x.headers.Instance, string(l.Target))
 	}
 	if _, found := h["User-Agent"]; !found {
-		h["User-Agent"] = nil // keep the library from adding its own
+		h["User-Agent"] = nil // keeps the HTTP client from adding its own
 	}
 	if x.headers.SetForwarded {
 		setForwarded(h, x.r)
@@ -139,8 +138,8 @@
 	return r
 }
 
-// setWorkspace tells the target in whose name the request runs, whatever the caller said of that, and keeps the
-// caller's key from it: a target, or whoever reads its logs, could ask in the workspace's name.
+// setWorkspace sets the workspace's header for the target, in place of what the caller sent, and removes the caller's key:
+// with it a target, or whoever reads its logs, could send requests as the workspace.
 func (x *exchange) setWorkspace(h http.Header) {
 	if x.headers.Workspace != "" {
 		forward.DropVariants(h, x.headers.Workspace)
@@ -161,8 +160,8 @@
 	}
 }
 
-// setForwarded says who asked. Nothing stands before the fleet, so what callers say of it
-// themselves is not passed on.
+// setForwarded sets the headers that identify the caller. Callers' own values are replaced, since no trusted proxy stands
+// in front of the fleet.
 func setForwarded(h http.Header, r *http.Request) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -178,7 +177,7 @@
 	h.Set("Forwarded", fmt.Sprintf("for=%s;host=%q;proto=http", from, r.Host))
 }
 
-// validRequestID says whether an id can stand in logs and headers as it is.
+// validRequestID reports whether an id can be used in logs and headers without escaping.
 func validRequestID(id string) bool {
 	return id != "" && len(id) <= 4*ident.MaxName && !strings.ContainsAny(id, " \t\"=")
 }
