--- a/node/answer.go
+++ b/node/answer.go
@@ -13,16 +13,16 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// defaultRetryAfter is what callers are told when nothing better is known.
+// defaultRetryAfter is the retry delay when no better estimate is known.
 const defaultRetryAfter clock.Millis = 300
 
-// notRunStatuses are statuses that tell callers that a request has not run.
+// notRunStatuses are the statuses by which callers conclude that a request has not run.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// respond passes a target's respond on. An respond that was cut is cut for the caller too.
+// respond sends a target's response to the caller. If the target's response is truncated, so is the caller's.
 func (x *exchange) respond(a *forward.Response, t ticket) {
 	if x.headers.NotRunStatuses && notRunStatuses[a.Status] {
 		discard(a)
@@ -68,7 +68,7 @@
 	h.Set(x.headers.RequestID, x.id)
 	x.node.leaving.sendAway(x.w)
 	if _, found := h["Content-Type"]; !found {
-		h["Content-Type"] = nil // keep the library from guessing
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	if a.Rest == nil && len(a.Trailer) == 0 && x.r.Method != http.MethodHead && bodyAllowed(a.Status) {
 		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
@@ -80,10 +80,10 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// errResponseTruncated marks answers that their target did not finish.
+// errResponseTruncated marks responses that their target did not finish.
 var errResponseTruncated = errors.New("the target broke off")
 
-// finishStream takes in how a large answer ended: only its end shows that the request did its target no harm.
+// finishStream records how a streamed response ended: only a complete one shows that the request did not crash its target.
 func (x *exchange) finishStream(err error) {
 	switch {
 	case x.usedLease == nil:
@@ -94,7 +94,7 @@
 	}
 }
 
-// copyFlushing sends each piece of a large answer as it comes.
+// copyFlushing copies a large response and flushes each part as it arrives.
 func copyFlushing(w http.ResponseWriter, r io.Reader) error {
 	buf := make([]byte, maxBufferedBody)
 	for {
@@ -114,7 +114,7 @@
 	}
 }
 
-// respondUnknown tells of a request that a target may have run and did not answer.
+// respondUnknown responds to a request that a target may have run without a usable response.
 func (x *exchange) respondUnknown(err error, t ticket) {
 	t.Unknown()
 	if errors.Is(err, forward.ErrRequestBody) {
@@ -132,7 +132,7 @@
 	x.respondProblem(p, c, err)
 }
 
-// giveUp tells of a request that no target took in the end.
+// giveUp responds to a request when no further target can be tried.
 func (x *exchange) giveUp(err error, t ticket) {
 	switch {
 	case x.callerLeft():
@@ -154,7 +154,7 @@
 	x.respondProblem(p, c, err)
 }
 
-// respondProblem answers the caller with a problem, at once.
+// respondProblem sends a problem to the caller and records the end of the request.
 func (x *exchange) respondProblem(p Problem, c cause, err error) {
 	x.w.Header().Set(x.headers.RequestID, x.id)
 	p.fractionalSeconds = x.headers.FractionalRetryAfter
@@ -165,7 +165,7 @@
 	x.recordEnd(p.Status, c, p.Detail+": "+err.Error())
 }
 
-// abort ends a request whose caller has left.
+// abort ends a request whose caller has left, and drops the connection.
 func (x *exchange) abort(t ticket) {
 	if x.ran > 0 {
 		t.Unknown()
@@ -182,7 +182,7 @@
 	}
 }
 
-// passToNode sends the request to another node as it is, once, and its answer back.
+// passToNode forwards the request unchanged to another node, in a single attempt, and sends back the response.
 func (x *exchange) passToNode(address string) {
 	if err := x.readBody(); err != nil {
 		x.rejectBody(err, Unknown)
@@ -191,7 +191,7 @@
 	h := x.r.Header.Clone()
 	forward.DropHopByHop(h)
 	for _, name := range ownRequest {
-		// Though the caller may say that it is of this connection only: without its key the request would run again.
+		// Restore it even if the caller's Connection header names it: without its key the request would run again.
 		if v, found := x.r.Header[name]; found {
 			h[name] = v
 		}
