--- a/node/ask.go
+++ b/node/ask.go
@@ -12,39 +12,39 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// DiscoveryPath is where callers of the fleet's own interface ask which addresses to use.
+// DiscoveryPath is where callers of the fleet's own API look up the addresses of nodes.
 const DiscoveryPath = "/.tinladder/ask"
 
 const (
-	// maxAddressTTL is how long callers may keep an answer.
+	// maxAddressTTL bounds how long callers may cache addresses.
 	maxAddressTTL = 2 * clock.Second
-	// minAddresses is the least addresses in an answer, so that a caller has somewhere else to go.
+	// minAddresses is the number of addresses returned if that many exist, so that a caller can fail over.
 	minAddresses = 2
 )
 
-// An Endpoints struct is what callers of the fleet's own interface are told.
+// Endpoints is the response to a look-up at DiscoveryPath.
 type Endpoints struct {
 	Service string `json:"service"`
-	// Addresses are callers' doors, best first.
+	// Addresses lists nodes, the preferred one first.
 	Addresses []Endpoint `json:"addresses"`
-	// ValidMs is how long the answer may be kept.
+	// ValidMs is how long the response may be cached.
 	ValidMs int64 `json:"valid_ms"`
-	// KeyPrefix begins the keys of run-once requests. Keys are best sent to the first address.
+	// KeyPrefix is the prefix for the keys of run-once requests. Keys are best sent to the first address.
 	KeyPrefix string `json:"key_prefix"`
 }
 
-// An Endpoint struct is one callers' door.
+// An Endpoint is the address of one node's listener for callers.
 type Endpoint struct {
 	Address string `json:"address"`
 	Hall    string `json:"hall"`
 }
 
-// addressTTL is how long callers may keep an answer.
+// addressTTL returns how long callers may cache addresses.
 func (n *Node) addressTTL() clock.Millis {
 	return min(maxAddressTTL, n.settings().Bounds.Valid.Millis())
 }
 
-// serveDiscovery answers a caller of the fleet's own interface.
+// serveDiscovery handles a look-up at DiscoveryPath.
 func (n *Node) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	token := r.Header.Get(HeaderToken)
 	ws, valid := workspaceOf(token)
@@ -54,7 +54,7 @@
 	service := ident.Service{Workspace: ws, Name: name}
 	switch {
 	case n.leaving.started():
-		// A key prefix handed out now would soon have no home.
+		// A key prefix issued now would soon have no home node.
 		Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: "leaving; ask another node"}.Write(w)
 	case !valid || space == nil || !tokenIn(space.doc.GetCallerTokenSha256(), token):
 		Problem{Status: http.StatusUnauthorized, Outcome: NotRun, Detail: "token is missing or not valid"}.Write(w)
@@ -82,7 +82,7 @@
 	return a
 }
 
-// directoryHandler tells callers on the users' platform which addresses to use.
+// directoryHandler serves address look-ups in the protocol of the users' platform.
 func (n *Node) directoryHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != n.platform.Speech.ResolvePath || r.Method != http.MethodGet {
@@ -90,7 +90,7 @@
 			return
 		}
 		if n.accessExpiring() {
-			w.WriteHeader(http.StatusServiceUnavailable) // another node knows which ones can serve
+			w.WriteHeader(http.StatusServiceUnavailable) // the caller is to ask a node that can verify keys
 			return
 		}
 		q := n.platform.Speech.ParseQuestion(r)
@@ -106,8 +106,8 @@
 	})
 }
 
-// groupOf returns the services that requests for the host go to. Hosts that lead nowhere have nodes
-// too, which say so.
+// groupOf returns the group of services that requests for the host go to. Hosts without a route have nodes too, which
+// respond with the error.
 func (n *Node) groupOf(host string) desired.Group {
 	if t := n.records.table.Load(); t != nil {
 		return t.GroupOfHost(host)
@@ -115,8 +115,9 @@
 	return ""
 }
 
-// nodesFor returns the nodes that carry the group in the caller's hall, and others if there are too few: of its region,
-// then of the regions that may serve the requests, if only some may. Nodes of any other region stand in for none.
+// nodesFor returns the nodes in the caller's hall that carry the group. If there are fewer than minAddresses, it adds nodes
+// of the hall's region, then of the home regions. Nodes of other regions are added only if homes is nil, which allows all
+// regions, or if no node was found.
 func (n *Node) nodesFor(group desired.Group, hall ident.Hall, homes []ident.Region) []*tlv1.Member {
 	halls := slices.DeleteFunc(n.carriers.halls(), func(h ident.Hall) bool { return h == hall })
 	rand.Shuffle(len(halls), func(i, j int) { halls[i], halls[j] = halls[j], halls[i] })
