--- a/node/retries.go
+++ b/node/retries.go
@@ -7,21 +7,21 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// The fleet's budget of retries is dealt out, so that it holds whoever hears whom: each node has the
-// ratio of its own requests, and a part of the slack.
+// The fleet's retry budget is divided among its nodes in advance, so that it holds during network partitions too: each
+// node may retry a ratio of its own requests, and has a share of the slack.
 
-// peakNodesWindow is how long nodes that were heard count as nodes of late.
+// peakNodesWindow is the period over which the recent maximum of live nodes is taken.
 const peakNodesWindow = 30 * clock.Second
 
-// distributeSlack gives each service's budget this node's part of the slack.
+// distributeSlack sets this node's share of the slack in the retry budget of each service.
 func (s *services) distributeSlack() {
 	for _, svc := range s.all() {
 		svc.pool.RetryBudget().SetSlack(s.slackShare(svc, false))
 	}
 }
 
-// slackShare is this node's part of the fleet's slackShare of retries for the service. The service may be new to it: whether the
-// node has carried it for long is not known then, and it is taken to.
+// slackShare returns this node's share of the fleet's retry slack for the service. When first is set the service is new to
+// the node, which cannot know for how long it has carried it, and is assumed to have done so for long.
 func (s *services) slackShare(svc *service, first bool) float64 {
 	n := s.node
 	live := len(n.members.Live()) + 1
@@ -34,19 +34,19 @@
 	return r.Slack * pool.SlackShare(v)
 }
 
-// limitPeakNodesWindow is how long nodes that were heard count for limits: a cut may last for minutes.
+// limitPeakNodesWindow is the same period for limits. It is longer, since a network partition may last for minutes.
 const limitPeakNodesWindow = 5 * clock.Minute
 
-// A recentMax is the most of something of late.
+// A recentMax tracks the recent maximum of a value.
 type recentMax struct {
-	// window is how long the most counts.
+	// window is how long a maximum is kept.
 	window clock.Millis
 	mu     sync.Mutex
 	max    int
 	at     clock.Millis
 }
 
-// observe takes in a value and returns the most of late.
+// observe adds a value and returns the recent maximum.
 func (p *recentMax) observe(n int, now clock.Millis) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
