--- a/node/problem.go
+++ b/node/problem.go
@@ -10,38 +10,38 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// An Outcome says of a request without a target's answer whether it ran.
+// An Outcome tells whether a request without a target's response ran.
 type Outcome string
 
-// Outcomes that callers are told.
+// Outcomes that are sent to callers.
 const (
 	// NotRun requests have not run and never will.
 	NotRun Outcome = "not-run"
 	// Unknown requests may have run, or may still be running.
 	Unknown Outcome = "unknown"
-	// Ran requests ran once, and their answer is no longer there.
+	// Ran requests ran once, and their response is no longer available.
 	Ran Outcome = "ran"
 )
 
-// A Problem struct is an answer that a node makes itself, as RFC 9457 has it.
+// A Problem is an error response of the node itself, in the format of RFC 9457.
 type Problem struct {
 	Status  int     `json:"status"`
 	Title   string  `json:"title"`
 	Detail  string  `json:"detail,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// RetryAfter is when it is worth coming back; 0 says nothing of it.
+	// RetryAfter is how long the caller should wait before a retry; 0 omits it.
 	RetryAfter clock.Millis `json:"retry_after_ms,omitempty"`
-	// workspace is in whose name the request came, and limit what it may ask by the second, for the log.
+	// workspace is the workspace of the request, and limit its requests per second, for the log.
 	workspace ident.Workspace
 	limit     float64
-	// fingerprint names a request that is held back, for the log.
+	// fingerprint identifies a request that quarantine holds back, for the log.
 	fingerprint string
-	// fractionalSeconds says that the caller reads fractionalSeconds of seconds.
+	// fractionalSeconds is set if the caller accepts fractions of a second in Retry-After.
 	fractionalSeconds bool
 }
 
-// Write sends the problem as the whole answer. RFC 9110 has whole seconds in Retry-After, and common clients
-// reject others; the exact time is told beside it.
+// Write sends the problem as the whole response. RFC 9110 allows only whole seconds in Retry-After, and common clients
+// reject others; a header of its own has the exact time.
 func (p Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -55,7 +55,7 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// retryAfter is the time to come back in seconds, whole ones if the caller reads no others.
+// retryAfter returns the value of Retry-After, rounded up to whole seconds unless the caller accepts fractions.
 func (p Problem) retryAfter() string {
 	seconds := p.RetryAfter.Duration().Seconds()
 	if !p.fractionalSeconds {
