--- a/node/account.go
+++ b/node/account.go
@@ -13,32 +13,32 @@
 	"github.com/tinladder/tinladder/quarantine"
 )
 
-// A cause names why a request was not served, in logs and metrics.
+// A cause is why a request failed, as logs and metrics name it.
 type cause string
 
-// Causes, of requests for services.
+// Causes of failed requests.
 const (
-	// causeTargetFailed requests got a failure as the target's answer.
+	// causeTargetFailed requests got an error response from the target.
 	causeTargetFailed cause = "target_failed"
-	// causeNoAnswer requests may have run: the target took them and gave no answer that counts.
+	// causeNoAnswer requests may have run: they were sent to a target, which gave no usable response.
 	causeNoAnswer cause = "no_answer"
-	// causeDeadline requests ran out of time at a target.
+	// causeDeadline requests reached their deadline at a target.
 	causeDeadline cause = "deadline"
-	// causeCut answers ended early, or their caller did not read them.
+	// causeCut responses were truncated by the target, or not read by the caller.
 	causeCut cause = "answer_cut"
-	// causeQueue requests were refused, since their time would have passed before a slot came free.
+	// causeQueue requests were refused since their deadline would have passed before a slot became free.
 	causeQueue cause = "queue"
-	// causeNoTarget requests were refused, since no target could be reached or may take work.
+	// causeNoTarget requests were refused since no target was reachable and accepting requests.
 	causeNoTarget cause = "no_target"
-	// causeShed requests were turned away by all targets that they were sent to.
+	// causeShed requests were refused by all targets that they were sent to.
 	causeShed cause = "shed"
-	// causeCallerLeft requests lost their caller.
+	// causeCallerLeft requests were abandoned by their caller.
 	causeCallerLeft cause = "caller_left"
-	// causeNodeEnded requests were still at work as this node ended.
+	// causeNodeEnded requests were still in progress when this node shut down.
 	causeNodeEnded cause = "node_ended"
 )
 
-// logAttempt tells of an attempt that did not end well, and of what it was decided by.
+// logAttempt logs a failed attempt, with what the choice of its target was based on.
 func (x *exchange) logAttempt(t plannedAttempt, e attemptEnd, took clock.Millis) {
 	l := t.lease
 	f := logrus.Fields{
@@ -64,7 +64,7 @@
 	x.node.log.WithFields(f).Warn()
 }
 
-// targetLoad returns what the target said of its own load.
+// targetLoad returns the load that the target reports in its response.
 func (x *exchange) targetLoad(a *forward.Response) (forward.Load, bool) {
 	if x.headers.ParseLoad == nil {
 		return forward.Load{}, false
@@ -72,8 +72,8 @@
 	return x.headers.ParseLoad(a.Header)
 }
 
-// recordEnd notes how the request recordEnd; status 0 says that nobody was answered, and no cause that it was
-// served.
+// recordEnd records how the request ended, in metrics and the log. A status of 0 means that no response was sent, an
+// empty cause that the request was served.
 func (x *exchange) recordEnd(status int, c cause, reason string) {
 	n := x.node
 	now := n.clock.Now()
@@ -96,7 +96,7 @@
 	}).Warn()
 }
 
-// poolResult says how a request counts for its service.
+// poolResult returns how a request counts for its service.
 func (x *exchange) poolResult(c cause, status int) pool.Result {
 	switch {
 	case c == "" || status == 0:
@@ -109,8 +109,7 @@
 	return pool.Unserved
 }
 
-// logServed tells of one served request a second of each service, and of those that took more than
-// one attempt.
+// logServed logs one served request per second of each service, and all those that took more than one attempt.
 func (x *exchange) logServed(status int, took, now clock.Millis) {
 	sampled := x.service.tally.served(now, took)
 	if !sampled && len(x.tried) < 2 {
@@ -130,24 +129,24 @@
 	return strings.Join(names, ",")
 }
 
-// A tally sums the requests of one service for the log.
+// A tally counts the requests of one service for the log.
 type tally struct {
 	mu        sync.Mutex
 	sampledAt clock.Millis
-	// sum began at the time.
+	// began is when the current period began.
 	began          clock.Millis
 	ok, bad        int
 	total, longest clock.Millis
 }
 
 const (
-	// sampleInterval is the least time between two served requests of a service in the log.
+	// sampleInterval is the minimum time between two served requests of a service in the log.
 	sampleInterval = 1 * clock.Second
-	// summaryInterval is how often the requests of a service are summed in the log, if there were any.
+	// summaryInterval is how often a summary of a service's requests is logged, if there were any.
 	summaryInterval = 10 * clock.Second
 )
 
-// served counts a request, and says whether it is one for the log.
+// served counts a request, and reports whether it should be logged.
 func (t *tally) served(now, took clock.Millis) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,7 +174,7 @@
 	t.longest = max(t.longest, took)
 }
 
-// summary returns what was counted as a log line has it, and begins anew, if it is time to.
+// summary returns the log fields of the current period and begins a new one. It returns nil if the period is not over.
 func (t *tally) summary(now clock.Millis) logrus.Fields {
 	t.mu.Lock()
 	defer t.mu.Unlock()
