--- a/node/admit.go
+++ b/node/admit.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// revokeMargin is how much sooner than the platform's bound keys are no longer taken: for rounding, and for what
-	// a request takes from its caller to here.
+	// revokeMargin is how long before the platform's bound keys are no longer accepted. It covers rounding and the time
+	// that a request takes from its caller to this node.
 	revokeMargin clock.Millis = 100
-	// expiringTenths is the part of that time after which callers are led elsewhere, in tenths.
+	// expiringTenths is the part of that bound, in tenths, after which callers are directed to other nodes.
 	expiringTenths, tenths = 6, 10
-	// unverifiedRetryAfter is what callers are told while no key can be taken: word of the store comes by then, if it can.
+	// unverifiedRetryAfter is the retry delay while keys cannot be verified. A confirmation from the store arrives within
+	// it, if the store can be reached.
 	unverifiedRetryAfter clock.Millis = 700
-	// minLimitRetryAfter and maxLimitRetryAfter bound when callers over their limit are told to come back.
+	// minLimitRetryAfter and maxLimitRetryAfter bound the retry delay of callers over their limit.
 	minLimitRetryAfter clock.Millis = 200
 	maxLimitRetryAfter              = 3 * clock.Second
 )
 
-// authenticate says in whose name the request runs, or returns the problem with it. A request that needs no key runs in
-// nobody's.
+// authenticate returns the workspace that the request's key belongs to, or the problem with the key. The workspace is nil
+// if the request needs no key.
 func (n *Node) authenticate(t *desired.Table, route *desired.Route, r *http.Request) (*access.Workspace, *Problem) {
 	if t.Access == nil || route.Public {
 		return nil, nil
@@ -40,7 +41,7 @@
 	return nil, &Problem{Status: http.StatusUnauthorized, Detail: v.String()}
 }
 
-// checkLimit says whether the workspace may make one more request, or returns the problem with it.
+// checkLimit charges one request to the workspace's limit. It returns a problem if the limit does not allow the request.
 func (n *Node) checkLimit(w *access.Workspace, r *http.Request) *Problem {
 	admitted, wait, reached := n.quotas.admit(r.Context(), w)
 	switch {
@@ -58,12 +59,12 @@
 	}
 }
 
-// jitter adds up to half to a pause, by chance, so that callers do not come back at once.
+// jitter adds a random part of up to a half to a pause, so that callers do not all return at the same time.
 func jitter(pause clock.Millis) clock.Millis {
 	return pause + rand.N(pause/2+1)
 }
 
-// freshness is how far this node may go by the keys of a desired state.
+// freshness returns how recent this node's knowledge of the keys is, and the bounds on its age.
 func (n *Node) freshness(t *desired.Table) access.Freshness {
 	b := n.settings().Bounds
 	trust := access.Freshness{NegativeMaxAge: b.Apply.Millis(), Stale: n.isOutdated(t)}
@@ -74,7 +75,7 @@
 	return trust
 }
 
-// proofAge is how long ago the store is proved to have held no newer keys, for the log; -1 if that is not known.
+// proofAge returns how long ago the store was proved to hold no newer keys, for the log; -1 if unknown.
 func (n *Node) proofAge() clock.Millis {
 	if age, proved := n.duty.proof.Age(n.clock.Now()); proved {
 		return age
@@ -82,7 +83,8 @@
 	return never
 }
 
-// accessExpiring says whether keys will soon no longer be taken here, so that callers are better led elsewhere now.
+// accessExpiring reports whether this node will soon have to refuse all keys, so that callers should be directed to other
+// nodes now.
 func (n *Node) accessExpiring() bool {
 	t := n.records.table.Load()
 	if t == nil || t.Access == nil {
