--- a/node/own.go
+++ b/node/own.go
@@ -13,21 +13,21 @@
 	"github.com/tinladder/tinladder/once"
 )
 
-// passToHome requests are to be decided by their key's home.
+// passToHome is the value of HeaderPassed on requests that are forwarded to the home node of their key.
 const passToHome = "home"
 
-// passRetryAfter is what callers are told when nothing better is known.
+// passRetryAfter is the default retry delay of the fleet's own API.
 const passRetryAfter = 1 * clock.Second
 
-// serveForPeer serves requests that another node passes on.
+// serveForPeer handles requests that another node forwards.
 func (n *Node) serveForPeer(w http.ResponseWriter, r *http.Request) {
 	n.leaving.enter()
 	defer n.leaving.exit()
 	n.serveOwn(w, r, r.Header.Get(HeaderPassed))
 }
 
-// rejectedOutcome is the outcome of a request that this node did nothing with. If the request has a key, it
-// may have run elsewhere before.
+// rejectedOutcome returns the outcome of a request that this node rejects before it does anything with it. A request
+// with a key may have run on another node before.
 func rejectedOutcome(r *http.Request) Outcome {
 	if r.Header.Get(HeaderKey) != "" {
 		return Unknown
@@ -35,7 +35,7 @@
 	return NotRun
 }
 
-// serveOwn serves a caller of the fleet's own interface, by token, service and path.
+// serveOwn handles a request of the fleet's own API, routed by token, service and path.
 func (n *Node) serveOwn(w http.ResponseWriter, r *http.Request, passed string) {
 	token := r.Header.Get(HeaderToken)
 	ws, valid := workspaceOf(token)
@@ -68,7 +68,7 @@
 	}
 }
 
-// checkOwn returns a problem with requests that no node would serve.
+// checkOwn returns a problem if no node would serve the request, or if this node was superseded.
 func (n *Node) checkOwn(r *http.Request) *Problem {
 	p := &Problem{Outcome: rejectedOutcome(r)}
 	limit := n.settings().Limits.BodyBytes
@@ -90,12 +90,12 @@
 }
 
 func deadlineValid(s string) bool {
-	n, err := strconv.ParseUint(s, 10, 63) // it takes no sign
+	n, err := strconv.ParseUint(s, 10, 63) // unlike ParseInt it accepts no sign
 	return s == "" || err == nil && n > 0
 }
 
-// repeatedHeader returns a header of the fleet's own interface that has repeatedHeader values; nothing if there is none. Whoever reads
-// the request besides could go by another one of them.
+// repeatedHeader returns the name of a header of the fleet's own API that has several values, or "". Another reader of
+// the request could use a different one of them.
 func repeatedHeader(h http.Header) string {
 	for _, name := range ownRequest {
 		if len(h[name]) > 1 {
@@ -130,7 +130,7 @@
 	n.serveOnce(x, route, key, passed)
 }
 
-// serveOnce runs a run-once request if its key has not run, or tells what became of it.
+// serveOnce runs a run-once request if its key has not run yet, or responds with what is known of the earlier run.
 func (n *Node) serveOnce(x *exchange, route *ownRoute, key once.Key, passed string) {
 	p := Problem{Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passRetryAfter}
 	switch d := n.ledger.Begin(route.service.Workspace, key, fingerprint(x.r)).(type) {
@@ -153,8 +153,8 @@
 	n.refuse(x.w, x.r, p)
 }
 
-// fingerprint tells requests apart that come under one key. The host is left out, since it is
-// another one when a caller goes to another node.
+// fingerprint distinguishes different requests under the same key. It leaves out the host, which changes when a caller
+// tries another node.
 func fingerprint(r *http.Request) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{r.Method, r.URL.RequestURI(), strconv.FormatInt(r.ContentLength, 10)} {
@@ -164,7 +164,7 @@
 	return d.Sum64()
 }
 
-// replay sends the answer that was kept.
+// replay sends the stored response of an earlier run.
 func (n *Node) replay(x *exchange, a *once.Response) {
 	if !a.Complete {
 		n.refuse(x.w, x.r, Problem{
@@ -177,7 +177,7 @@
 	x.respond(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
 }
 
-// homeAddress returns the process's door for peers, if the process is known to live.
+// homeAddress returns the process's address for peers, if the process is known to be alive.
 func (n *Node) homeAddress(p ident.Process) (string, bool) {
 	for _, m := range n.members.Live() {
 		if member.ProcessOf(m) == p {
@@ -187,7 +187,7 @@
 	return "", false
 }
 
-// passHome passes a request on to the only process that may run its key, once.
+// passHome forwards a request to the only process that may run its key, unless it was forwarded already.
 func (n *Node) passHome(x *exchange, home ident.Process, passed string) {
 	address, live := n.homeAddress(home)
 	if passed != "" || !live {
