--- a/node/request_test.go
+++ b/node/request_test.go
@@ -55,8 +55,7 @@
 	is.Equal(f.call(n, http.MethodGet, "/deep/x", "3", "").status, http.StatusNotFound)
 }
 
-// TestRunOnce has the only target misbehave in each way, and looks at what the caller is told and
-// how often the request ran.
+// TestRunOnce has the only target misbehave in each way, and checks the caller's response and how often the request ran.
 func TestRunOnce(t *testing.T) {
 	f := newFleet(t, 1)
 	cases := []struct {
@@ -90,18 +89,19 @@
 			if impliesNotRun(r.status) {
 				is.Equal(ran("x", target), 0)
 			}
-			is.True(r.took < 1300*time.Millisecond) // the route's time and a little
+			is.True(r.took < 1300*time.Millisecond) // the route's timeout and some margin
 		})
 	}
 }
 
-// impliesNotRun says whether the status tells a caller that its request has not run.
+// impliesNotRun reports whether the status implies that the request has not run.
 func impliesNotRun(status int) bool {
 	return status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest ||
 		status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// TestRunOnceFindsAnotherTargetAfterAPromise has one target shed all, and one be replaced.
+// TestRunOnceFindsAnotherTargetAfterAPromise has one target shed all requests, and another instance take over the address
+// of a second one. Both declare that requests have not run, so that each runs once on the third.
 func TestRunOnceFindsAnotherTargetAfterAPromise(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -122,7 +122,7 @@
 			arrivals++
 		}
 	}
-	is.True(arrivals <= 1) // it is not asked again
+	is.True(arrivals <= 1) // no further requests are sent to it
 }
 
 func TestRepeatableIsTriedElsewhere(t *testing.T) {
@@ -143,8 +143,8 @@
 	_ = good
 }
 
-// TestAnswersStayWithTheirRequests sends many requests at a time through targets whose answers come
-// twice, late, cut and as rubbish. Nobody gets another's answer, or a part of one as whole.
+// TestAnswersStayWithTheirRequests sends concurrent requests through targets whose responses are duplicated, late,
+// truncated or garbage. No caller may get another's response, or a truncated one as complete.
 func TestAnswersStayWithTheirRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -188,7 +188,8 @@
 	is.True(served > 240)
 }
 
-// TestBudgetHoldsOverTheFleet has all targets of a service fail under load on all nodes.
+// TestBudgetHoldsOverTheFleet has all targets of a service fail under load on all nodes. Retries stay within the fleet's
+// budget, and make use of it.
 func TestBudgetHoldsOverTheFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4)
@@ -215,12 +216,11 @@
 	more := arrivals - requests
 	t.Logf("%d further arrivals of %d requests", more, requests)
 	is.True(more <= requests/5+60) // the settings' ratio and slack
-	is.True(more > requests/10)    // and the budget is of use
+	is.True(more > requests/10)    // the budget is used
 }
 
-// TestSilentTargetIsHedged has one of two targets fall silent. Repeatable requests are answered by the
-// other one well before the silent one's time is over, and the silent one's connection ends. Requests that
-// run once are never sent a second time.
+// TestSilentTargetIsHedged has one of two targets stop responding. Repeatable requests are served by the other one well
+// before the route's timeout, and the connections to the silent one are closed. Run-once requests are never sent twice.
 func TestSilentTargetIsHedged(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -232,7 +232,7 @@
 	}
 	targets[0].SetFaults(standin.TargetFaults{Hang: 1})
 	i := 0
-	f.eventually("a request went to the silent target", func() bool { // a target that was left idle is tried after 1.5 s
+	f.eventually("a request went to the silent target", func() bool { // an idle target is tried after 1.5 s
 		i++
 		id := fmt.Sprint("get", i)
 		r := f.call(f.nodes[0], http.MethodGet, "/get/", id, "")
@@ -250,9 +250,8 @@
 	}
 }
 
-// TestHedgesKeepToTheBudget has all targets fall silent under load, so that each request would be hedged.
-// Further attempts stay within the budget of the fleet, and no request goes to more targets than its route
-// allows.
+// TestHedgesKeepToTheBudget has all targets stop responding under load, so that each request would be hedged. Hedges stay
+// within the fleet's budget, and no request goes to more targets than its route allows.
 func TestHedgesKeepToTheBudget(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
@@ -262,7 +261,7 @@
 	}
 	f.calm(3)
 	f.ready(3, len(targets))
-	for i := range 60 { // until it is known how long requests take
+	for i := range 60 { // until latencies are known
 		f.call(f.nodes[i%2], http.MethodGet, "/get/", fmt.Sprint("warm", i), "")
 	}
 	for _, target := range targets {
@@ -296,8 +295,8 @@
 	}
 }
 
-// TestLeavingWaitsForHedgedRequests stops a node while its requests wait at a silent target. Each is
-// answered, and none of the connections is cut.
+// TestLeavingWaitsForHedgedRequests stops a node while its requests wait at a silent target. Each gets a response, and no
+// connection is cut.
 func TestLeavingWaitsForHedgedRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -324,7 +323,7 @@
 	is.Equal(broken, 0)
 }
 
-// TestDeadlineIsPassedOn sends requests with little time left.
+// TestDeadlineIsPassedOn sends requests with a short deadline, which the target gets and the node enforces.
 func TestDeadlineIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -340,7 +339,8 @@
 	is.True(r.took < 450*time.Millisecond)
 }
 
-// TestCallerThatLeavesEndsItsRequest closes a caller's connection while a target works.
+// TestCallerThatLeavesEndsItsRequest closes a caller's connection while a target works on its repeatable request, which
+// ends well before the route's timeout.
 func TestCallerThatLeavesEndsItsRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -361,8 +361,8 @@
 	is.True(time.Since(left) < 400*time.Millisecond) // the route would hold it for a second
 }
 
-// TestCallerThatLeavesEndsBothAttempts closes a caller's connection while two silent targets have its
-// request. Both attempts end, and no target gets the request later.
+// TestCallerThatLeavesEndsBothAttempts closes a caller's connection while a hedged request waits at two silent targets.
+// Both attempts end, and no target gets the request later.
 func TestCallerThatLeavesEndsBothAttempts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -394,8 +394,8 @@
 	is.Equal(ran("gone", targets...), 2)
 }
 
-// TestCallerThatLeavesTheQueue closes the connection of a run-once request that waits for a slot. It is not
-// sent when a slot comes free.
+// TestCallerThatLeavesTheQueue closes the connection of a run-once request that waits for a slot. It must not be sent
+// when a slot becomes free.
 func TestCallerThatLeavesTheQueue(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -404,7 +404,7 @@
 	f.ready(3, 1)
 	target.SetFaults(standin.TargetFaults{Hang: 1})
 	var wg sync.WaitGroup
-	const full = 4 // its slots, and its own queue
+	const full = 4 // its slots and its own queue
 	for i := range full {
 		wg.Go(func() { f.callWithin(f.nodes[0], http.MethodPost, "/once/", fmt.Sprint("held", i), "pay", 700) })
 	}
@@ -458,7 +458,8 @@
 	}
 }
 
-// TestIdleTimeFollowsTheState lets a caller's connection rest under one bound, and another.
+// TestIdleTimeFollowsTheState changes the desired state's idle timeout while a caller's connection is open. The new value
+// applies to that connection.
 func TestIdleTimeFollowsTheState(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
