--- a/node/admit_test.go
+++ b/node/admit_test.go
@@ -24,7 +24,7 @@
 	{Name: "couriers", Keys: []string{courierKey}, Rank: 2, PerSecond: 20, Burst: 10},
 }
 
-// configureKeyed is a state with workspaces, and a public route besides.
+// configureKeyed stores a desired state with workspaces, and with a public route in addition.
 func (f *fleet) configureKeyed(version uint64, list []standin.WorkspaceRow) {
 	public := route("/open/", standin.Repeatable, "desk")
 	public.Public = true
@@ -51,7 +51,7 @@
 	return reply{status: res.StatusCode, header: res.Header, took: time.Since(start)}
 }
 
-// awaitKeys waits until the nodes can tell how old their keys are.
+// awaitKeys waits until all nodes accept the key, that is, until they know how recent their keys are.
 func (f *fleet) awaitKeys(key string) {
 	f.t.Helper()
 	for i, n := range f.nodes {
@@ -61,15 +61,15 @@
 	}
 }
 
-// TestKeysStayHere shows keys and names of workspaces in many ways. Targets see whose request it is by the fleet's
-// word alone, and never a key; neither do logs and metrics.
+// TestKeysStayHere sends keys and workspace names in many forms. Targets get only the workspace name that the node sets,
+// and keys reach neither targets nor logs nor metrics.
 func TestKeysStayHere(t *testing.T) {
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"5s\"\n" })
 	target := f.target("i-1", "desk")
 	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
 	f.awaitKeys(shopKey)
-	time.Sleep(time.Second) // the couriers' account fills
+	time.Sleep(time.Second) // the token bucket of couriers fills
 	cases := []struct {
 		name, path string
 		headers    []string
@@ -133,9 +133,9 @@
 	is.True(strings.Contains(metrics.String(), `tinladder_workspace_limit{workspace="couriers",of="burst"} 10`))
 }
 
-// TestKeysLapseWithoutTheStore takes a key away while some nodes hear nothing of it: their store is silent and the
-// others are cut off. They stop taking any key before it may no longer run anywhere, say so before to whoever asks
-// where to go, and take keys again once the store is back.
+// TestKeysLapseWithoutTheStore revokes a key while a node cannot learn of it, since the store does not respond. The node
+// stops accepting all keys before the revocation bound, directs callers elsewhere before that, and accepts keys again once
+// the store is back.
 func TestKeysLapseWithoutTheStore(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"2s\"\n" })
@@ -157,14 +157,14 @@
 			last = sent
 			is.True(!ledAway || time.Since(taken) < 2*time.Second)
 		} else {
-			is.Equal(r.status, http.StatusServiceUnavailable) // it has not run, and the caller may come back
+			is.Equal(r.status, http.StatusServiceUnavailable) // not run, and may be retried
 			is.True(r.header.Get("Retry-After") != "")
 			is.True(ledAway)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	is.True(last.Sub(taken) < 2*time.Second)
-	is.Equal(f.callWith(n, "/open/", "open", "Authorization", "x").status, http.StatusOK) // it asks for no key
+	is.Equal(f.callWith(n, "/open/", "open", "Authorization", "x").status, http.StatusOK) // the route needs no key
 	is.Equal(f.status(n.readiness, platform.ReadyPath), http.StatusServiceUnavailable)
 	n.door.SetFaults(standin.Faults{})
 	f.eventually("the key is known to be gone", func() bool {
@@ -174,9 +174,9 @@
 	is.Equal(ran("gone", target), 0)
 }
 
-// TestNewKeyIsNotRefusedByANodeThatIsBehind adds a workspace while the connections between nodes are silent and all but one
-// are turned away by the store, so that word of the state comes before the state. A node that knows that it is behind must
-// not say that the key is not known: one answered 401 to 20 of 53 requests with a new key, five versions behind.
+// TestNewKeyIsNotRefusedByANodeThatIsBehind adds a workspace while the connections between nodes are silent and the store
+// refuses all nodes but one, so that nodes learn of the new state before they have it. A node that knows it is behind must
+// not reject the key as unknown. The fault: a node that was five versions behind answered 20 of 53 requests with 401.
 func TestNewKeyIsNotRefusedByANodeThatIsBehind(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 4, &fleet{muffled: true, via: func(store string) string { return store }})
@@ -195,7 +195,7 @@
 		f.store.ConfigureKeyed(version, []string{"desk"}, list, routes...)
 	}
 	large(4, workspaces[1:])
-	_, late := f.inForceWithin(4, time.Now(), 5*time.Second) // connections are open, and rest
+	_, late := f.inForceWithin(4, time.Now(), 5*time.Second) // leaves idle connections open
 	is.Equal(late, nil)
 	told := func(n *testNode) int { return strings.Count(n.log.String(), "event=state_behind") }
 	before := map[*testNode]int{}
@@ -220,11 +220,11 @@
 	})
 	t.Logf("answers of nodes that were behind: %v", refused)
 	is.Equal(refused[http.StatusUnauthorized], 0)
-	is.True(refused[http.StatusServiceUnavailable] > 0) // a node knew of the new state before it had it
+	is.True(refused[http.StatusServiceUnavailable] > 0) // some node knew of the new state before it had it
 	is.Equal(f.callWith(f.nodes[0], "/get/", "unknown", "Authorization", "Bearer x").status, http.StatusUnauthorized)
 }
 
-// TestProofIsHandedOn has the store answer one node alone. The others take keys by its word.
+// TestProofIsHandedOn has the store respond to one node only. The others accept keys on that node's confirmations.
 func TestProofIsHandedOn(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 6, func(int) string { return "revoke = \"5s\"\n" })
@@ -251,7 +251,8 @@
 	is.True(refused <= asked/50)
 }
 
-// TestLimitHoldsOverNodes floods a fleet in a workspace's name, on two of its nodes, and leaves another one what it had.
+// TestLimitHoldsOverNodes floods two nodes of a fleet with one workspace's requests. The workspace's limit holds over all
+// nodes, and another workspace is served as before.
 func TestLimitHoldsOverNodes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4)
@@ -259,7 +260,7 @@
 	f.configureKeyed(3, workspaces)
 	f.ready(3, 1)
 	f.awaitKeys(shopKey)
-	time.Sleep(2500 * time.Millisecond) // accounts fill from the start
+	time.Sleep(2500 * time.Millisecond) // token buckets fill from the start
 	var wg sync.WaitGroup
 	begun := time.Now()
 	var mu sync.Mutex
@@ -279,7 +280,7 @@
 	}
 	for k := range 50 {
 		r := f.callWith(f.nodes[k%4], "/get/", fmt.Sprint("s", k), "Authorization", "Bearer "+shopKey)
-		if r.status != http.StatusOK { // its line in the log may be one of those that the flood leaves no room for
+		if r.status != http.StatusOK { // its log line may be one of those dropped during the flood
 			t.Logf("s%d at %s: %d %s", k, f.nodes[k%4].name, r.status, r.body)
 		}
 		is.Equal(r.status, http.StatusOK)
@@ -294,12 +295,12 @@
 	}
 	t.Logf("statuses %v, ran %d", statuses, count)
 	is.True(count <= 141) // (20 x 5 + 10) x 1.1 + 20
-	is.True(count >= 60)  // and the limit is there to be used
+	is.True(count >= 60)  // the limit is used
 	is.True(statuses[http.StatusTooManyRequests] > 0)
 }
 
-// TestTargetStartsAgainUnderItsID ends a target that was leaving, and starts it again with its id: the new life is
-// given work, and nothing that was held against the old one counts.
+// TestTargetStartsAgainUnderItsID stops a target that was leaving, and starts it again under its id. The new generation
+// gets requests, and failures of the old one do not count against it.
 func TestTargetStartsAgainUnderItsID(t *testing.T) {
 	f := newFleet(t, 2)
 	target := f.target("i-1", "desk")
@@ -321,7 +322,7 @@
 		f.eventually(n.name+" serves by it again", func() bool { return f.call(n, http.MethodGet, "/get/", "c", "").status == http.StatusOK })
 		f.eventually(n.name+" says so", func() bool { return strings.Contains(n.log.String(), "event=target_reborn") })
 	}
-	f.store.Put("servers", "i-1", []byte(`{"address":7}`)) // another writer takes the row
+	f.store.Put("servers", "i-1", []byte(`{"address":7}`)) // another writer overwrites the row
 	f.eventually("it names no target", func() bool {
 		return f.call(f.nodes[0], http.MethodGet, "/get/", "d", "").status == http.StatusServiceUnavailable
 	})
