--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -13,8 +13,7 @@
 	"github.com/tinladder/tinladder/trace"
 )
 
-// explain explains a request from the logs of all nodes, as the operators' page says, once a line
-// tells how it ended.
+// explain returns the explanation of a request from the logs of all nodes, as operators do, once a line tells how it ended.
 func (f *fleet) explain(request string) trace.Story {
 	f.t.Helper()
 	var s trace.Story
@@ -31,8 +30,8 @@
 	return s
 }
 
-// TestCauseOfAFailureIsInTheLog brings about the failures of docs/OPERATIONS.md, and finds the cause
-// of each by the request's id, in the logs alone.
+// TestCauseOfAFailureIsInTheLog provokes the failures of docs/OPERATIONS.md, and finds the cause of each from the logs
+// alone, by the request's id.
 func TestCauseOfAFailureIsInTheLog(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -70,8 +69,8 @@
 	}
 }
 
-// TestCauseOfALateHedge has one of two targets fall silent. The log of a request that the other one answered
-// tells which target was silent, and that it was served.
+// TestCauseOfALateHedge has one of two targets stop responding. The log of a request that the other one served tells
+// which target was silent, and that the request was served.
 func TestCauseOfALateHedge(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -81,7 +80,7 @@
 	f.ready(3, 2)
 	silent.SetFaults(standin.TargetFaults{Hang: 1})
 	hedged, i := "", 0
-	f.eventually("a request went to the silent target", func() bool { // a target that was left idle is tried after 1.5 s
+	f.eventually("a request went to the silent target", func() bool { // an idle target is tried after 1.5 s
 		i++
 		hedged = fmt.Sprint("h", i)
 		is.Equal(f.call(f.nodes[0], http.MethodGet, "/get/", hedged, "").status, http.StatusOK)
@@ -96,7 +95,8 @@
 	is.True(strings.Contains(s.Said, "i-1 did not answer in time") || strings.Contains(s.Said, "i-1 was given up"))
 }
 
-// TestCauseOfARefusalInABurst sends far more than the targets can run in time.
+// TestCauseOfARefusalInABurst sends far more than the target can run in time. The log gives the queue as the cause of a
+// refused request.
 func TestCauseOfARefusalInABurst(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -126,7 +126,7 @@
 	is.Equal(ran(refused, target), 0)
 }
 
-// TestReaderOfTheLogThatStops serves requests while nobody reads the log.
+// TestReaderOfTheLogThatStops blocks the log's reader. Requests must be served all the same.
 func TestReaderOfTheLogThatStops(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -134,7 +134,7 @@
 	f.calm(3)
 	f.ready(3, 1)
 	n := f.nodes[0]
-	n.log.mu.Lock() // the writer of the log stands from now on
+	n.log.mu.Lock() // blocks writes to the log from now on
 	defer n.log.mu.Unlock()
 	for i := range 200 {
 		is.Equal(f.call(n, http.MethodGet, "/get/", fmt.Sprint("s", i), "").status, http.StatusOK)
