--- a/node/silent_test.go
+++ b/node/silent_test.go
@@ -12,8 +12,8 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// A silencingProxy passes connections on. Those that are open when it is told to hush go silent for good, without
-// an end, while new ones work.
+// A silencingProxy forwards TCP connections. Those that are open when silence is called carry no more data but stay open,
+// while new ones work.
 type silencingProxy struct {
 	listener net.Listener
 	to       string
@@ -22,7 +22,7 @@
 	conns []*proxiedConn
 }
 
-// proxiedConn is one connection, both ways.
+// proxiedConn is one forwarded connection.
 type proxiedConn struct {
 	near, far net.Conn
 	silent    chan struct{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// copyUntilSilent copies until the connection is silent: from then on it reads, and hands nothing on.
+// copyUntilSilent copies until the connection is silenced. From then on it discards what it reads.
 func (c *proxiedConn) copyUntilSilent(from, to net.Conn) {
 	buf := make([]byte, 4096)
 	for {
@@ -87,7 +87,7 @@
 	}
 }
 
-// silence makes all open connections silent, and returns how many.
+// silence makes all open connections silent, and returns how many there were.
 func (m *silencingProxy) silence() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestSilentConnectionsToTargets lets the idle connections to a target go silent. Repeatable requests are
-// answered all the same, and one run-once request at most is lost before the others go by new ones.
+// TestSilentConnectionsToTargets makes the idle connections to targets go silent. Repeatable requests are served all the
+// same, and at most one run-once request per target is lost before the others use new connections.
 func TestSilentConnectionsToTargets(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -150,7 +150,7 @@
 			lost++
 		}
 	}
-	is.True(lost <= len(targets)) // one for each target, whose other connections are given up with it
+	is.True(lost <= len(targets)) // one per target, whose other idle connections are closed with it
 	crowd(http.MethodGet, "/get/", "again")
 	for _, m := range mufflers {
 		m.silence()
@@ -158,8 +158,8 @@
 	is.Equal(f.call(f.nodes[0], http.MethodGet, "/get/", "repeatable", "").status, http.StatusOK)
 }
 
-// TestSilentConnectionsToTheStore lets a node's connections to the store go silent. It has the next desired
-// state within the time that a call may take and the wait of its question.
+// TestSilentConnectionsToTheStore makes a node's connections to the store go silent. The node gets the next desired state
+// within the time-out of a call and the duration of a long poll.
 func TestSilentConnectionsToTheStore(t *testing.T) {
 	var way *silencingProxy
 	f := newFleetVia(t, 1, func(store string) string {
@@ -170,7 +170,7 @@
 	f.target("i-1", "desk")
 	f.calm(3)
 	f.ready(3, 1)
-	time.Sleep(500 * time.Millisecond) // its question waits at the store
+	time.Sleep(500 * time.Millisecond) // its long poll waits at the store
 	if way.silence() == 0 {
 		t.Fatal("no connection was open")
 	}
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestSilentConnectionsBetweenNodes lets the connections between nodes go silent while all but one are turned away by
-// the store, and a state comes that is too large for datagrams. It must be in force on all all the same.
+// TestSilentConnectionsBetweenNodes makes the connections between nodes go silent while the store refuses all nodes but
+// one, and a state is stored that is too large for datagrams. It must come into force on all nodes all the same.
 func TestSilentConnectionsBetweenNodes(t *testing.T) {
 	f := startFleet(t, 4, &fleet{muffled: true, via: func(store string) string { return store }})
 	f.target("i-1", "desk")
@@ -194,7 +194,7 @@
 	for _, n := range f.nodes[1:] {
 		n.door.SetFaults(standin.Faults{Away: standin.Busy})
 	}
-	f.inForceWithin(4, f.grown(4, 600, false), 5*time.Second) // connections are open, and rest
+	f.inForceWithin(4, f.grown(4, 600, false), 5*time.Second) // leaves idle connections open
 	open := 0
 	for _, n := range f.nodes {
 		open += n.muffler.silence()
