--- a/node/heldback.go
+++ b/node/heldback.go
@@ -34,7 +34,7 @@
 	}
 	l.Done(pool.Abandoned, false)
 	if x.ran > 0 {
-		x.noAnswer(errHeldBack, t)
+		x.respondUnknown(errHeldBack, t)
 		return true
 	}
 	x.refuseHeld(x.node.suspects.problem(p), t)
@@ -59,7 +59,7 @@
 	t.Void()
 	x.node.metrics.heldBack()
 	x.w.Header().Set(x.headers.RequestID, x.id)
-	p.fractions = x.headers.FractionalRetryAfter
+	p.fractionalSeconds = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	x.node.refuse(x.w, x.r, *p)
 }
--- a/node/own.go
+++ b/node/own.go
@@ -13,38 +13,38 @@
 	"github.com/tinladder/tinladder/once"
 )
 
-// passToHome requests are to be decided by their key's home.
+// passToHome is the value of HeaderPassed on requests that are forwarded to the home node of their key.
 const passToHome = "home"
 
-// passPause is what callers are told when nothing better is known.
-const passPause = 1 * clock.Second
+// passRetryAfter is the default retry delay of the fleet's own API.
+const passRetryAfter = 1 * clock.Second
 
-// serveForPeer serves requests that another node passes on.
+// serveForPeer handles requests that another node forwards.
 func (n *Node) serveForPeer(w http.ResponseWriter, r *http.Request) {
 	n.leaving.enter()
 	defer n.leaving.exit()
 	n.serveOwn(w, r, r.Header.Get(HeaderPassed))
 }
 
-// blank is the outcome of a request that this node did nothing with. If the request has a key, it
-// may have run elsewhere before.
-func blank(r *http.Request) Outcome {
+// rejectedOutcome returns the outcome of a request that this node rejects before it does anything with it. A request
+// with a key may have run on another node before.
+func rejectedOutcome(r *http.Request) Outcome {
 	if r.Header.Get(HeaderKey) != "" {
 		return Unknown
 	}
 	return NotRun
 }
 
-// serveOwn serves a caller of the fleet's own interface, by token, service and path.
+// serveOwn handles a request of the fleet's own API, routed by token, service and path.
 func (n *Node) serveOwn(w http.ResponseWriter, r *http.Request, passed string) {
 	token := r.Header.Get(HeaderToken)
 	ws, valid := workspaceOf(token)
 	space := n.records.book.Load().workspaces[ws]
 	name, named := serviceNamed(r.Header.Get(HeaderService), ws)
 	var route *ownRoute
-	twice := false
+	ambiguous := false
 	if space != nil && named {
-		route, twice = space.route(r, name)
+		route, ambiguous = space.route(r, name)
 	}
 	if p := n.checkOwn(r); p != nil {
 		n.refuse(w, r, *p)
@@ -52,14 +52,14 @@
 	}
 	switch {
 	case !valid || space == nil || !tokenIn(space.doc.GetCallerTokenSha256(), token):
-		n.refuse(w, r, Problem{Status: http.StatusUnauthorized, Outcome: blank(r), Detail: "token is missing or not valid"})
+		n.refuse(w, r, Problem{Status: http.StatusUnauthorized, Outcome: rejectedOutcome(r), Detail: "token is missing or not valid"})
 	case route == nil:
-		n.refuse(w, r, Problem{Status: http.StatusNotFound, Outcome: blank(r), Detail: "no such service or route"})
-	case twice:
-		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Outcome: blank(r), Detail: otherRoute})
+		n.refuse(w, r, Problem{Status: http.StatusNotFound, Outcome: rejectedOutcome(r), Detail: "no such service or route"})
+	case ambiguous:
+		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Outcome: rejectedOutcome(r), Detail: ambiguousRoute})
 	case !n.limiter.enter(ws, space.concurrency()):
 		n.refuse(w, r, Problem{
-			Status: http.StatusTooManyRequests, Outcome: blank(r), RetryAfter: passPause,
+			Status: http.StatusTooManyRequests, Outcome: rejectedOutcome(r), RetryAfter: passRetryAfter,
 			Detail: "the workspace has its share of this node in use",
 		})
 	default:
@@ -68,17 +68,17 @@
 	}
 }
 
-// checkOwn returns a problem with requests that no node would serve.
+// checkOwn returns a problem if no node would serve the request, or if this node was superseded.
 func (n *Node) checkOwn(r *http.Request) *Problem {
-	p := &Problem{Outcome: blank(r)}
+	p := &Problem{Outcome: rejectedOutcome(r)}
 	limit := n.settings().Limits.BodyBytes
 	switch {
 	case n.members.Superseded():
-		p.Status, p.Detail, p.RetryAfter = http.StatusServiceUnavailable, "a later process runs in this node's place", passPause
+		p.Status, p.Detail, p.RetryAfter = http.StatusServiceUnavailable, "a later process runs in this node's place", passRetryAfter
 	case strings.Join(r.Header["Upgrade"], "") != "" || r.Method == http.MethodConnect:
 		p.Status, p.Detail = http.StatusNotImplemented, "connections cannot be upgraded"
-	case several(r.Header) != "":
-		p.Status, p.Detail = http.StatusBadRequest, several(r.Header)+" stands there more than once"
+	case repeatedHeader(r.Header) != "":
+		p.Status, p.Detail = http.StatusBadRequest, repeatedHeader(r.Header)+" stands there more than once"
 	case r.ContentLength > limit:
 		p.Status, p.Detail = http.StatusRequestEntityTooLarge, "body is larger than this node allows"
 	case !deadlineValid(r.Header.Get(HeaderDeadline)):
@@ -90,13 +90,13 @@
 }
 
 func deadlineValid(s string) bool {
-	n, err := strconv.ParseUint(s, 10, 63) // it takes no sign
+	n, err := strconv.ParseUint(s, 10, 63) // unlike ParseInt it accepts no sign
 	return s == "" || err == nil && n > 0
 }
 
-// several returns a header of the fleet's own interface that has several values; nothing if there is none. Whoever reads
-// the request besides could go by another one of them.
-func several(h http.Header) string {
+// repeatedHeader returns the name of a header of the fleet's own API that has several values, or "". Another reader of
+// the request could use a different one of them.
+func repeatedHeader(h http.Header) string {
 	for _, name := range ownRequest {
 		if len(h[name]) > 1 {
 			return name
@@ -108,8 +108,8 @@
 func (n *Node) runOwn(w http.ResponseWriter, r *http.Request, route *ownRoute, passed string) {
 	r.Body = http.MaxBytesReader(nil, r.Body, n.settings().Limits.BodyBytes)
 	x := newExchange(n, w, r, route.Route, ownHeaders)
-	x.space = route.service.String()
-	if p := x.late(blank(r)); p != nil {
+	x.owner = route.service.String()
+	if p := x.checkLeaving(rejectedOutcome(r)); p != nil {
 		n.refuse(w, r, *p)
 		return
 	}
@@ -127,12 +127,12 @@
 		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Detail: err.Error()})
 		return
 	}
-	n.decideOnce(x, route, key, passed)
+	n.serveOnce(x, route, key, passed)
 }
 
-// decideOnce runs a run-once request if its key has not run, or tells what became of it.
-func (n *Node) decideOnce(x *exchange, route *ownRoute, key once.Key, passed string) {
-	p := Problem{Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passPause}
+// serveOnce runs a run-once request if its key has not run yet, or responds with what is known of the earlier run.
+func (n *Node) serveOnce(x *exchange, route *ownRoute, key once.Key, passed string) {
+	p := Problem{Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passRetryAfter}
 	switch d := n.ledger.Begin(route.service.Workspace, key, fingerprint(x.r)).(type) {
 	case once.Run:
 		x.serve(d.Ticket)
@@ -144,7 +144,7 @@
 		n.passHome(x, d.Home, passed)
 		return
 	case once.NotRun:
-		p = Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: d.Reason, RetryAfter: passPause}
+		p = Problem{Status: http.StatusServiceUnavailable, Outcome: NotRun, Detail: d.Reason, RetryAfter: passRetryAfter}
 	case once.Unknown:
 		p.Detail = d.Reason
 	case once.Mismatch:
@@ -153,8 +153,8 @@
 	n.refuse(x.w, x.r, p)
 }
 
-// fingerprint tells requests apart that come under one key. The host is left out, since it is
-// another one when a caller goes to another node.
+// fingerprint distinguishes different requests under the same key. It leaves out the host, which changes when a caller
+// tries another node.
 func fingerprint(r *http.Request) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{r.Method, r.URL.RequestURI(), strconv.FormatInt(r.ContentLength, 10)} {
@@ -164,7 +164,7 @@
 	return d.Sum64()
 }
 
-// replay sends the answer that was kept.
+// replay sends the stored response of an earlier run.
 func (n *Node) replay(x *exchange, a *once.Response) {
 	if !a.Complete {
 		n.refuse(x.w, x.r, Problem{
@@ -174,11 +174,11 @@
 		return
 	}
 	x.w.Header().Set(HeaderReplay, "true")
-	x.answer(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
+	x.respond(&forward.Response{Status: a.Status, Header: a.Header.Clone(), Body: a.Body}, noTicket{})
 }
 
-// homeDoor returns the process's door for peers, if the process is known to live.
-func (n *Node) homeDoor(p ident.Process) (string, bool) {
+// homeAddress returns the process's address for peers, if the process is known to be alive.
+func (n *Node) homeAddress(p ident.Process) (string, bool) {
 	for _, m := range n.members.Live() {
 		if member.ProcessOf(m) == p {
 			return m.GetPeerAddress(), true
@@ -187,15 +187,15 @@
 	return "", false
 }
 
-// passHome passes a request on to the only process that may run its key, once.
+// passHome forwards a request to the only process that may run its key, unless it was forwarded already.
 func (n *Node) passHome(x *exchange, home ident.Process, passed string) {
-	address, live := n.homeDoor(home)
+	address, live := n.homeAddress(home)
 	if passed != "" || !live {
 		n.refuse(x.w, x.r, Problem{
-			Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passPause,
+			Status: http.StatusConflict, Outcome: Unknown, RetryAfter: passRetryAfter,
 			Detail: "the node that the key belongs to cannot be reached, and no other may run it",
 		})
 		return
 	}
-	x.pass(address)
+	x.passToNode(address)
 }
--- a/node/services.go
+++ b/node/services.go
@@ -44,7 +44,7 @@
 	// users are other nodes that were heard to use the service.
 	users map[ident.Process]use
 	// paces are how long the requests of each route take.
-	paces map[string]*pace
+	paces map[string]*routeStats
 	// carriers are the nodes that carried the service when last looked at.
 	carriers map[ident.Process]bool
 	// sharers are the nodes that carried the service of late.
@@ -85,7 +85,7 @@
 	// turns are this node's places among those that try targets.
 	turns *turns
 	// most is how many nodes there were of late.
-	most peak
+	most recentMax
 	// lines bounds how many changes of belief by others' word the log is told of one by one.
 	lines *logs.Limiter
 }
@@ -94,7 +94,7 @@
 const toldBeliefs = 16
 
 func newServices(n *Node) *services {
-	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), lines: logs.NewLimiter(n.clock, toldBeliefs)}
+	return &services{node: n, byName: map[string]*service{}, most: recentMax{window: peakNodesWindow}, turns: newTurns(n.self.Node), lines: logs.NewLimiter(n.clock, toldBeliefs)}
 }
 
 // get returns the service that a request is for, making it if there is none, with its targets.
@@ -138,8 +138,8 @@
 func (s *services) add(name string) *service {
 	n := s.node
 	r := n.settings().Retries
-	svc := &service{name: name, users: map[ident.Process]use{}, paces: map[string]*pace{}, sharers: assign.NewSharers()}
-	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slack(svc, true), r.Window.Millis())
+	svc := &service{name: name, users: map[ident.Process]use{}, paces: map[string]*routeStats{}, sharers: assign.NewSharers()}
+	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slackShare(svc, true), r.Window.Millis())
 	svc.pool = pool.New(n.tuning, n.clock, newRand(), b, func(w pool.ChangeKind, of ident.Hall) { s.report(svc, w, of) },
 		func(e pool.Event) { s.note(svc, e) })
 	s.byName[name] = svc
@@ -148,7 +148,7 @@
 
 // pace returns how long the route's requests take at the service. It keeps no more than maxPaces, and
 // forgets all when there are more: routes come and go.
-func (s *service) pace(route string, c clock.Clock) *pace {
+func (s *service) pace(route string, c clock.Clock) *routeStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.paces[route]
@@ -156,7 +156,7 @@
 		if len(s.paces) >= maxPaces {
 			clear(s.paces)
 		}
-		p = newPace(c)
+		p = newRouteStats(c)
 		s.paces[route] = p
 	}
 	return p
@@ -479,7 +479,7 @@
 	s.tellSums()
 	s.tellIdle()
 	s.wake()
-	s.deal()
+	s.distributeSlack()
 	switch {
 	case changed:
 		if s.relaid() {
@@ -507,7 +507,7 @@
 		s.node.log.WithFields(logrus.Fields{"event": "target_beliefs", "count": more, "by": "peers"}).Info()
 	}
 	for _, svc := range s.all() {
-		if f := svc.tally.sum(now); f != nil {
+		if f := svc.tally.summary(now); f != nil {
 			st := svc.pool.Stats()
 			f["service"], f["waiting"], f["targets"], f["usable"] = svc.name, st.Waiting, st.Targets, st.Usable
 			s.node.log.WithFields(f).Info()
