--- a/node/admit.go
+++ b/node/admit.go
@@ -28,7 +28,7 @@
 	if t.Access == nil || route.Public {
 		return nil, nil
 	}
-	w, v := t.Access.Decide(r.Header.Values(n.platform.Speech.Headers.Key), n.trust(t))
+	w, v := t.Access.Decide(r.Header.Values(n.platform.Protocol.Headers.Key), n.trust(t))
 	switch v {
 	case access.Allowed:
 		return w, nil
--- a/node/ask.go
+++ b/node/ask.go
@@ -85,7 +85,7 @@
 // directoryDoor tells callers on the users' platform which addresses to use.
 func (n *Node) directoryDoor() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != n.platform.Speech.ResolvePath || r.Method != http.MethodGet {
+		if r.URL.Path != n.platform.Protocol.ResolvePath || r.Method != http.MethodGet {
 			http.NotFound(w, r)
 			return
 		}
@@ -93,7 +93,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable) // another node knows which ones can serve
 			return
 		}
-		q := n.platform.Speech.ParseQuestion(r)
+		q := n.platform.Protocol.ParseQuery(r)
 		var addresses []string
 		for _, m := range n.nodesFor(n.groupOf(q.Host), q.Hall, homes(n.records.table.Load(), q.Host)) {
 			addresses = append(addresses, m.GetCallerAddress())
@@ -102,7 +102,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		n.platform.Speech.WriteAddresses(w, addresses, n.valid())
+		n.platform.Protocol.WriteAddresses(w, addresses, n.valid())
 	})
 }
 
--- a/node/front.go
+++ b/node/front.go
@@ -53,7 +53,7 @@
 	asked := n.clock.Now() // no later than what is taken of a limit: what is given back then is never more
 	x, problem := n.platformExchange(w, r)
 	if problem != nil {
-		problem.fractions = n.platform.Speech.Headers.FractionalRetryAfter
+		problem.fractions = n.platform.Protocol.Headers.FractionalRetryAfter
 		n.refuse(w, r, *problem)
 		return
 	}
@@ -84,7 +84,7 @@
 	if problem := bound(t.Limits, r); problem != nil {
 		return nil, problem
 	}
-	x := newExchange(n, w, r, route, n.platform.Speech.Headers)
+	x := newExchange(n, w, r, route, n.platform.Protocol.Headers)
 	x.keyed = t.Access != nil
 	x.halls = n.hallsFor(route, space)
 	if problem := x.late(NotRun); problem != nil || space == nil {
@@ -201,7 +201,7 @@
 // readinessDoor tells the platform whether callers may be sent here.
 func (n *Node) readinessDoor() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != n.platform.Speech.ReadyPath {
+		if r.URL.Path != n.platform.Protocol.ReadyPath {
 			http.NotFound(w, r)
 			return
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -60,7 +60,7 @@
 	// Suspects is where requests are kept under which targets crashed.
 	Suspects store.Table
 	Objects  store.Objects
-	Speech   Speech
+	Protocol Protocol
 }
 
 // A Node struct is one process of the fleet.
--- a/node/speech.go
+++ b/node/speech.go
@@ -8,19 +8,19 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A Speech struct is how the platform's callers, targets and checks speak: the names of their
+// A Protocol struct is how the platform's callers, targets and checks speak: the names of their
 // headers and paths, and the form of their messages.
-type Speech struct {
+type Protocol struct {
 	Headers     forward.Headers
 	ReadyPath   string
 	ResolvePath string
-	// ParseQuestion reads a caller's question, and WriteAddresses answers it.
-	ParseQuestion  func(r *http.Request) Question
+	// ParseQuery reads a caller's question, and WriteAddresses answers it.
+	ParseQuery     func(r *http.Request) ResolveQuery
 	WriteAddresses func(w http.ResponseWriter, addresses []string, valid clock.Millis)
 }
 
-// A Question struct is what a caller asks of the directory: where to go for a host.
-type Question struct {
+// A ResolveQuery struct is what a caller asks of the directory: where to go for a host.
+type ResolveQuery struct {
 	Host   string
 	Region string
 	Hall   ident.Hall
--- a/tinladder.go
+++ b/tinladder.go
@@ -70,17 +70,17 @@
 		Source: func(refused func(store.Refusal)) store.Source { return platform.NewSource(client, c, refused) },
 		Table:  platform.NewTable(client), Suspects: platform.NewSuspects(client),
 		Objects: platform.NewObjects(client),
-		Speech: node.Speech{
+		Protocol: node.Protocol{
 			Headers:        platform.Headers(),
 			ReadyPath:      platform.ReadyPath,
 			ResolvePath:    platform.ResolvePath,
-			ParseQuestion:  parseQuestion,
+			ParseQuery:     parseQuestion,
 			WriteAddresses: platform.WriteAddresses,
 		},
 	}
 }
 
-func parseQuestion(r *http.Request) node.Question {
+func parseQuestion(r *http.Request) node.ResolveQuery {
 	q := platform.ParseQuestion(r.URL.Query())
-	return node.Question{Host: q.Host, Region: q.Region, Hall: ident.Hall(q.Hall)}
+	return node.ResolveQuery{Host: q.Host, Region: q.Region, Hall: ident.Hall(q.Hall)}
 }
