--- a/node/admit.go
+++ b/node/admit.go
@@ -79,7 +79,7 @@
 	if age, proved := n.duty.proof.Age(n.clock.Now()); proved {
 		return age
 	}
-	return never
+	return neverConfirmed
 }
 
 // runsOut says whether keys will soon no longer be taken here, so that callers are better led elsewhere now.
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -11,59 +11,59 @@
 	"github.com/tinladder/tinladder/watcher"
 )
 
-// nearPasses is how many of so many words and comparisons by chance stay in the hall: bytes between halls cost the
+// sameHallPicks is how many of so many words and comparisons by chance stay in the hall: bytes between halls cost the
 // most.
-const nearPasses, passes = 3, 4
+const sameHallPicks, picks = 3, 4
 
 // tick tells the hall now and then what the store holds, for as long as this node watches, and a node of each
 // other hall, which may have nobody that the store answers.
 func (d *duty) tick() {
-	speaks := d.speaks()
+	speaks := d.sendsConfirms()
 	d.mu.Lock()
 	now := d.node.clock.Now()
 	watching := false
-	for _, at := range d.asked {
-		watching = watching || now-at < watchWait+watcher.StaleAfter
+	for _, at := range d.queriedAt {
+		watching = watching || now-at < longPoll+watcher.StaleAfter
 	}
-	due := watching && speaks && now-d.told >= confirmEvery || d.confirming
-	d.confirming = false
-	repair := now-d.passed >= repairEvery
+	due := watching && speaks && now-d.confirmSentAt >= confirmInterval || d.confirmPending
+	d.confirmPending = false
+	repair := now-d.repairedAt >= repairInterval
 	if repair {
-		d.passed = now
+		d.repairedAt = now
 	}
 	d.mu.Unlock()
 	if due {
-		d.confirm()
-		d.tell(d.onePerHall())
+		d.confirmToHall()
+		d.sendConfirm(d.onePerHall())
 	}
 	if repair {
-		d.pass(1)
+		d.confirmToRandom(1)
 	}
 }
 
-// speaks says whether this node tells its hall of the store: the first to watch does, or whoever asks while the hall hears
+// sendsConfirms says whether this node tells its hall of the store: the first to watch does, or whoever asks while the hall hears
 // nobody. Each that has asked of late would send as many words as there are pairs of nodes.
-func (d *duty) speaks() bool {
-	return !d.hall.HeardWithin(confirmEvery) || d.rank() == 0
+func (d *duty) sendsConfirms() bool {
+	return !d.hall.HeardWithin(confirmInterval) || d.rank() == 0
 }
 
-// confirm tells this node's hall what is known of the store.
-func (d *duty) confirm() {
+// confirmToHall tells this node's hall what is known of the store.
+func (d *duty) confirmToHall() {
 	d.mu.Lock()
-	d.told = d.node.clock.Now()
+	d.confirmSentAt = d.node.clock.Now()
 	d.mu.Unlock()
-	d.tell(d.hallPeers())
+	d.sendConfirm(d.hallPeers())
 }
 
 // confirmSoon does the same, once for all that is sent within a tick.
 func (d *duty) confirmSoon() {
 	d.mu.Lock()
 	now := d.node.clock.Now()
-	wait := now-d.told < tickEvery
-	d.confirming = wait
+	wait := now-d.confirmSentAt < tickEvery
+	d.confirmPending = wait
 	d.mu.Unlock()
 	if !wait {
-		d.confirm()
+		d.confirmToHall()
 	}
 }
 
@@ -112,22 +112,22 @@
 	return list
 }
 
-// pass tells a few nodes by chance what this one holds, so that news goes on where a watcher's word
+// confirmToRandom tells a few nodes by chance what this one holds, so that news goes on where a watcher's word
 // was lost.
-func (d *duty) pass(count int) {
-	live := d.node.someNodes()
-	d.tell(gossipAddresses(live[:min(count, len(live))], func(*tlv1.Member) bool { return true }))
+func (d *duty) confirmToRandom(count int) {
+	live := d.node.randomNodes()
+	d.sendConfirm(gossipAddresses(live[:min(count, len(live))], func(*tlv1.Member) bool { return true }))
 }
 
-// someNodes returns other nodes by chance: those of this hall, or now and then of all.
-func (n *Node) someNodes() []*tlv1.Member {
-	near := rand.IntN(passes) < nearPasses
+// randomNodes returns other nodes by chance: those of this hall, or now and then of all.
+func (n *Node) randomNodes() []*tlv1.Member {
+	near := rand.IntN(picks) < sameHallPicks
 	live := slices.DeleteFunc(slices.Clone(n.members.Live()), func(m *tlv1.Member) bool { return near && hallOf(m) != n.hall() })
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	return live
 }
 
-func (d *duty) tell(addresses []string) {
+func (d *duty) sendConfirm(addresses []string) {
 	n := d.node
 	n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Confirm{Confirm: &tlv1.Confirm{
 		Node: string(n.self.Node), Incarnation: uint64(n.self.Incarnation), Hall: string(n.hall()),
@@ -139,10 +139,10 @@
 func (d *duty) kindSums() []*tlv1.KindSum {
 	var list []*tlv1.KindSum
 	for _, k := range d.node.kinds() {
-		s := &tlv1.KindSum{Kind: string(k), AgeMs: never}
+		s := &tlv1.KindSum{Kind: string(k), AgeMs: neverConfirmed}
 		d.mu.Lock()
-		s.Mark = uint64(d.marks[k]) // before the sum: what comes in between is no part of a later mark
-		if at := d.confirmed[k]; at > 0 {
+		s.Mark = uint64(d.cursors[k]) // before the sum: what comes in between is no part of a later mark
+		if at := d.confirmedAt[k]; at > 0 {
 			s.AgeMs = int64(d.node.clock.Now() - at)
 		}
 		d.mu.Unlock()
@@ -157,8 +157,8 @@
 	return list
 }
 
-// hear takes in another node's word on the store.
-func (d *duty) hear(c *tlv1.Confirm) {
+// receiveConfirm takes in another node's word on the store.
+func (d *duty) receiveConfirm(c *tlv1.Confirm) {
 	p := ident.Process{Node: ident.Node(c.GetNode()), Incarnation: ident.Incarnation(c.GetIncarnation())}
 	if p.Node == d.node.self.Node {
 		return
@@ -168,14 +168,14 @@
 		d.hall.Heard(p, c.GetDeaf())
 	}
 	// The first state comes by a comparison, with the targets: requests wait for it, and would find none.
-	if d.node.records.table.Load() == nil || !d.hearKinds(c.GetKinds(), c.GetPeerAddress(), far) {
-		d.node.peers.sync(d.giver(c.GetPeerAddress(), far), false)
+	if d.node.records.table.Load() == nil || !d.mergeKindSums(c.GetKinds(), c.GetPeerAddress(), far) {
+		d.node.peers.sync(d.syncSource(c.GetPeerAddress(), far), false)
 	}
 }
 
-// giver returns the node to ask for what the one at the address holds and this one lacks. A node that has nothing yet asks
+// syncSource returns the node to ask for what the one at the address holds and this one lacks. A node that has nothing yet asks
 // those of its own hall that carry much: what crosses halls costs the most, and they hear of it first.
-func (d *duty) giver(address string, far bool) string {
+func (d *duty) syncSource(address string, far bool) string {
 	n := d.node
 	if !far || n.records.sets[store.Targets].Len() > 0 || n.isStrong(n.members.Self()) {
 		return address
@@ -186,9 +186,9 @@
 	return address
 }
 
-// differsFor is how long the records of another node must differ from this one's to be compared: records come by datagram,
+// mismatchDelay is how long the records of another node must differ from this one's to be compared: records come by datagram,
 // and what was sent before a word of sums may come after it.
-const differsFor clock.Millis = 200
+const mismatchDelay clock.Millis = 200
 
 // A difference is one between this node's records of a kind and what others said that they hold.
 type difference struct {
@@ -197,9 +197,9 @@
 	newest uint64
 }
 
-// lacks takes in that another node's records differ, and says whether it is time to compare: at once while this one has just
+// noteMismatch takes in that another node's records differ, and says whether it is time to compare: at once while this one has just
 // started, and else if they have differed for long.
-func (d *duty) lacks(k store.Kind, newest uint64) bool {
+func (d *duty) noteMismatch(k store.Kind, newest uint64) bool {
 	now := d.node.clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,11 +209,11 @@
 	}
 	x.newest = max(x.newest, newest)
 	d.differences[k] = x
-	return now-x.since >= differsFor || now-d.since <= watcher.StaleAfter
+	return now-x.since >= mismatchDelay || now-d.startedAt <= watcher.StaleAfter
 }
 
-// matched takes in that another node holds the same records. One that lacks as much settles nothing.
-func (d *duty) matched(k store.Kind, newest uint64) {
+// noteMatch takes in that another node holds the same records. One that lacks as much settles nothing.
+func (d *duty) noteMatch(k store.Kind, newest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if newest >= d.differences[k].newest {
@@ -221,10 +221,10 @@
 	}
 }
 
-// hearKinds takes in how long ago the store held what the node at the address holds. It returns false if this
+// mergeKindSums takes in how long ago the store held what the node at the address holds. It returns false if this
 // one should compare its records with that. A newer state is asked for; an older one is nothing to ask for, and
 // neither are older records of another hall.
-func (d *duty) hearKinds(kinds []*tlv1.KindSum, address string, far bool) bool {
+func (d *duty) mergeKindSums(kinds []*tlv1.KindSum, address string, far bool) bool {
 	same := true
 	now := d.node.clock.Now()
 	for _, s := range kinds {
@@ -236,21 +236,21 @@
 		if set := d.node.records.sets[k]; set.Sum() != s.GetSum() {
 			if k == store.State {
 				d.node.pulls.want(s.GetNewest(), address)
-			} else if (!far || s.GetNewest() >= set.Newest()) && d.lacks(k, s.GetNewest()) {
+			} else if (!far || s.GetNewest() >= set.Newest()) && d.noteMismatch(k, s.GetNewest()) {
 				same = false
 			}
 			continue
 		}
-		d.matched(k, s.GetNewest())
+		d.noteMatch(k, s.GetNewest())
 		if k == store.State && d.node.records.readable() {
 			d.proof.Merge(clock.Millis(s.GetProved()), now)
 		}
-		if s.GetAgeMs() == never {
+		if s.GetAgeMs() == neverConfirmed {
 			continue
 		}
 		d.mu.Lock()
-		d.confirmed[k] = max(d.confirmed[k], now-clock.Millis(s.GetAgeMs()))
-		d.marks[k] = max(d.marks[k], store.Cursor(s.GetMark()))
+		d.confirmedAt[k] = max(d.confirmedAt[k], now-clock.Millis(s.GetAgeMs()))
+		d.cursors[k] = max(d.cursors[k], store.Cursor(s.GetMark()))
 		d.mu.Unlock()
 	}
 	return same
--- a/node/front.go
+++ b/node/front.go
@@ -115,7 +115,7 @@
 	}
 	bound := n.settings().Bounds.Apply.Millis()
 	age, proved := n.duty.proof.Age(n.clock.Now())
-	return n.duty.age(store.State) > bound || proved && age > bound+watchWait
+	return n.duty.age(store.State) > bound || proved && age > bound+longPoll
 }
 
 // routeFor returns the route of the request, if it can be used and no reader of the path would find another one.
--- a/node/leave.go
+++ b/node/leave.go
@@ -114,7 +114,7 @@
 	}
 	n.log.WithFields(logrus.Fields{"event": "leaving", "node": n.self.Node, "grace_ms": l.plan().Grace, "in_flight": l.busy.Load()}).Warn()
 	n.sendGossip(n.members.AnnounceLeaving())
-	n.duty.confirm()
+	n.duty.confirmToHall()
 	for last := leave.Serve; last != leave.End; time.Sleep(leaveCheck.Duration()) {
 		next := l.plan().Next(l.elapsed(), l.open())
 		for last < next {
--- a/node/operators.go
+++ b/node/operators.go
@@ -179,7 +179,7 @@
 		return nil, rpcError(err)
 	}
 	s.node.log.WithFields(logrus.Fields{"event": "config_changed", "key": doc.GetKey(), "version": c.GetSeq(), "who": op.name}).Info()
-	s.node.duty.look(store.Documents)
+	s.node.duty.readNow(store.Documents)
 	return connect.NewResponse(&tlv1.ApplyResponse{Change: c}), nil
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -288,9 +288,9 @@
 func (p *peers) tick() {
 	now := p.node.clock.Now()
 	p.mu.Lock()
-	joining := !p.joined && now-p.node.duty.since < joinFor
+	joining := !p.joined && now-p.node.duty.startedAt < joinFor
 	pause := startMerges * clock.Millis(max(1, len(p.node.members.Live())/mergeMembers))
-	due := now-p.mergedAt >= mergeEvery || now-p.node.duty.since < startFor+pause && now-p.mergedAt >= pause
+	due := now-p.mergedAt >= mergeEvery || now-p.node.duty.startedAt < startFor+pause && now-p.mergedAt >= pause
 	if due {
 		p.mergedAt = now
 	}
@@ -301,7 +301,7 @@
 	if !due {
 		return
 	}
-	if live := p.node.someNodes(); len(live) > 0 {
+	if live := p.node.randomNodes(); len(live) > 0 {
 		p.sync(live[0].GetPeerAddress(), true)
 	}
 }
@@ -366,7 +366,7 @@
 	for _, r := range p.inOrder(records) {
 		n.records.hear(r, address)
 	}
-	if !n.duty.hearKinds(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
+	if !n.duty.mergeKindSums(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
 		p.mu.Lock()
 		p.turnedAway = true
 		p.mu.Unlock()
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -80,13 +80,13 @@
 	live := len(n.members.Live()) + 1
 	sharing := n.carriers.sharing()
 	q.count(live, now)
-	started := now-n.duty.since < limitYoung
+	started := now-n.duty.startedAt < limitYoung
 	named, met := q.seeds()
 	v := limit.View{
 		Seeds: named, SeedsReached: met,
 		Sharers: nodesOf(sharing), IsSharer: n.isAmong(sharing),
 		SharerCount: len(sharing), Live: live, PeakLive: q.known.see(live, now),
-		Isolated: n.peers.lonely() && now-n.duty.since < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
+		Isolated: n.peers.lonely() && now-n.duty.startedAt < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
 	}
 	if v.ReachedAllSeeds() {
 		q.metAll.Store(true)
@@ -99,7 +99,7 @@
 func (q *quotas) seeds() (named, met int) {
 	n := q.node
 	seeds := slices.Compact(slices.Sorted(slices.Values(n.settings().Fleet.Seeds)))
-	if q.metAll.Load() || n.clock.Now()-n.duty.since >= aloneFor {
+	if q.metAll.Load() || n.clock.Now()-n.duty.startedAt >= aloneFor {
 		return 0, 0
 	}
 	heard := map[string]bool{n.settings().Node.PeersAddress(): true}
@@ -180,7 +180,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.node.clock.Now()
-	return now-q.node.duty.since < limitYoung && now-q.liveAt < settledFor
+	return now-q.node.duty.startedAt < limitYoung && now-q.liveAt < settledFor
 }
 
 // count notes how many nodes are heard.
--- a/node/records.go
+++ b/node/records.go
@@ -97,7 +97,7 @@
 		r.node.services.refresh()
 	}
 	if k != store.Targets && from != fromStore {
-		r.node.duty.pass(passNews)
+		r.node.duty.confirmToRandom(newsFanout)
 	}
 }
 
--- a/node/spread.go
+++ b/node/spread.go
@@ -17,7 +17,7 @@
 	// node one datagram after the other.
 	bulkRecords = 128
 	// freshWord is the age up to which a hall's word of the store is fresh: two words of its watcher.
-	freshWord = 2 * confirmEvery
+	freshWord = 2 * confirmInterval
 	// morePeersTold is how many more nodes a watcher tells of a large record, besides its own hall: each hall has a
 	// watcher of its own.
 	morePeersTold = 4
@@ -28,16 +28,16 @@
 // find to all, a store that comes back would have as many copies sent as there are pairs of nodes.
 func (d *duty) spread(k store.Kind, news []replica.Record) {
 	if k != store.State && len(news) > bulkRecords {
-		d.confirm()
-		d.tell(d.relays())
+		d.confirmToHall()
+		d.sendConfirm(d.relays())
 		return
 	}
 	if d.rank() > 0 && k != store.State && k != store.Evacuations {
-		d.confirm()
+		d.confirmToHall()
 		return
 	}
 	d.send(k, news, append(d.hallPeers(), d.relays()...))
-	d.tell(d.relays())
+	d.sendConfirm(d.relays())
 }
 
 // forward tells this hall of records that another hall's watcher told this node of, if the hall has no fresh word of its
@@ -58,7 +58,7 @@
 func (d *duty) send(k store.Kind, news []replica.Record, to []string) {
 	if k == store.State {
 		d.sendState(news, to)
-		d.confirm()
+		d.confirmToHall()
 		return
 	}
 	d.sendParts(k, news, to)
@@ -94,7 +94,7 @@
 		d.sendRecords(&tlv1.Records{Kind: string(store.State), Records: []*tlv1.Record{x}}, to)
 		return
 	}
-	d.pass(morePeersTold)
+	d.confirmToRandom(morePeersTold)
 }
 
 func (d *duty) sendRecords(r *tlv1.Records, addresses []string) {
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -119,7 +119,7 @@
 		}
 		if err == nil {
 			s.list.MarkStored(p)
-			s.node.duty.look(store.Suspects)
+			s.node.duty.readNow(store.Suspects)
 		}
 		return err
 	}
--- a/node/wire.go
+++ b/node/wire.go
@@ -167,7 +167,7 @@
 			n.sendGossip(n.members.Receive(b.Gossip))
 			n.peers.met(b.Gossip.GetFrom())
 		case *tlv1.Parcel_Confirm:
-			n.duty.hear(b.Confirm)
+			n.duty.receiveConfirm(b.Confirm)
 		case *tlv1.Parcel_Records:
 			n.records.hear(b.Records, "peer")
 		case *tlv1.Parcel_Report:
