--- a/node/answer.go
+++ b/node/answer.go
@@ -198,7 +198,7 @@
 	}
 	h.Set(HeaderPassed, passToHome)
 	h.Set(HeaderCaller, callerOf(x.r))
-	h.Set(HeaderPeerKey, x.node.keys.doorKey())
+	h.Set(HeaderPeerKey, x.node.keys.peerKey())
 	h.Set(x.headers.RequestID, x.id)
 	ctx, cancel := x.context()
 	defer cancel()
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -59,7 +59,7 @@
 func (d *duty) confirmSoon() {
 	d.mu.Lock()
 	now := d.node.clock.Now()
-	wait := now-d.confirmSentAt < tickEvery
+	wait := now-d.confirmSentAt < tickInterval
 	d.confirmPending = wait
 	d.mu.Unlock()
 	if !wait {
@@ -177,10 +177,10 @@
 // those of its own hall that carry much: what crosses halls costs the most, and they hear of it first.
 func (d *duty) syncSource(address string, far bool) string {
 	n := d.node
-	if !far || n.records.sets[store.Targets].Len() > 0 || n.isStrong(n.members.Self()) {
+	if !far || n.records.sets[store.Targets].Len() > 0 || n.hasHighCapacity(n.members.Self()) {
 		return address
 	}
-	if m := n.strongNode(); m != nil {
+	if m := n.highCapacityNode(); m != nil {
 		return m.GetPeerAddress()
 	}
 	return address
--- a/node/duty.go
+++ b/node/duty.go
@@ -197,7 +197,7 @@
 func (d *duty) watch(ctx context.Context, k store.Kind) {
 	for ctx.Err() == nil {
 		if !d.shouldQuery(k) {
-			pause(ctx, d.nextCheck(k))
+			sleep(ctx, d.nextCheck(k))
 			continue
 		}
 		if d.hall.Failing() {
@@ -305,7 +305,7 @@
 		return r.Cursor, at, nil
 	}
 	d.spread(k, news)
-	pause(ctx, batchDelay)
+	sleep(ctx, batchDelay)
 	return r.Cursor, at, nil
 }
 
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -68,7 +68,7 @@
 	now := n.clock.Now()
 	live := len(n.members.Live()) + 1
 	return warmup.View{
-		Live: live, PeakLive: n.quotas.known.see(live, now), Converged: now-n.duty.startedAt >= coldMet && !n.peers.lonely(),
+		Live: live, PeakLive: n.quotas.known.see(live, now), Converged: now-n.duty.startedAt >= coldMet && !n.peers.isAlone(),
 	}
 }
 
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -318,6 +318,6 @@
 // more says whether the fleet may make one more attempt, and counts it.
 func (x *exchange) more() bool {
 	allowed := x.service.pool.RetryBudget().Allow()
-	x.node.metrics.again(allowed)
+	x.node.metrics.retried(allowed)
 	return allowed
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -24,7 +24,7 @@
 	peers map[peerTraffic]*metrics.Counter
 	// storeCalls are all calls for records.
 	storeCalls *metrics.Counter
-	heard      *metrics.Counter
+	datagrams  *metrics.Counter
 	retries    *metrics.Counter
 	denied     *metrics.Counter
 	hedges     *metrics.Counter
@@ -32,8 +32,8 @@
 	version    *metrics.Counter
 	// stateAt is when the desired state that is in force came.
 	stateAt *metrics.Counter
-	// uses returns what workspaces made of their limits.
-	uses func() []limit.Usage
+	// usage returns what workspaces made of their limits.
+	usage func() []limit.Usage
 }
 
 func newMetrics(c clock.Clock) *nodeMetrics {
@@ -47,7 +47,7 @@
 		set:        set,
 		peers:      peers,
 		storeCalls: &metrics.Counter{},
-		heard:      set.NewCounter("tinladder_datagram_received_total"),
+		datagrams:  set.NewCounter("tinladder_datagram_received_total"),
 		retries:    set.NewCounter("tinladder_retries_total"),
 		denied:     set.NewCounter("tinladder_retries_denied_total"),
 		hedges:     set.NewCounter("tinladder_hedges_total"),
@@ -73,7 +73,7 @@
 
 // gauges adds what is looked at when the metrics are read.
 func (m *nodeMetrics) gauges(n *Node) {
-	m.uses = n.quotas.table.Usage
+	m.usage = n.quotas.table.Usage
 	sum := func(of func(s pool.Stats) int) func() float64 {
 		return func() float64 {
 			total := 0
@@ -164,8 +164,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_beliefs_total{event=%q}`, k)).Inc()
 }
 
-// again counts further attempts, made and denied by the budget.
-func (m *nodeMetrics) again(allowed bool) {
+// retried counts further attempts, made and denied by the budget.
+func (m *nodeMetrics) retried(allowed bool) {
 	if allowed {
 		m.retries.Inc()
 	} else {
@@ -231,11 +231,11 @@
 
 func (m *nodeMetrics) write(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
-	writeUses(w, m.uses())
+	writeUses(w, m.usage())
 	metrics.WriteProcessMetrics(w)
 }
 
-// quietLog takes the HTTP server's own messages, such as those of broken connections.
-func quietLog(l *logs.Log) *stdlog.Logger {
+// httpErrorLog takes the HTTP server's own messages, such as those of broken connections.
+func httpErrorLog(l *logs.Log) *stdlog.Logger {
 	return stdlog.New(l.WithField("event", "http_server").WriterLevel(logrus.DebugLevel), "", 0)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -25,12 +25,12 @@
 )
 
 const (
-	// tickEvery is the pace of what is not driven by events.
-	tickEvery clock.Millis = 100
-	// eventsEvery is how often the log of events looks whether to save.
-	eventsEvery = 2 * clock.Second
-	// purgeEvery is how often idle connections are looked through.
-	purgeEvery = 1 * clock.Second
+	// tickInterval is the pace of what is not driven by events.
+	tickInterval clock.Millis = 100
+	// eventsInterval is how often the log of events looks whether to save.
+	eventsInterval = 2 * clock.Second
+	// purgeInterval is how often idle connections are looked through.
+	purgeInterval = 1 * clock.Second
 	// dialTimeout bounds a new connection to a target: far above the way between halls, and low
 	// enough to try another target.
 	dialTimeout clock.Millis = 120
@@ -75,31 +75,31 @@
 	metrics  *nodeMetrics
 	tuning   pool.Tuning
 
-	members  *member.Table
-	records  *records
-	source   store.Source
-	services *services
-	carriers *carriers
-	demand   *demand
-	duty     *duty
-	lag      *lag
-	handOn   *handOn
-	pulls    *pulls
-	compares *compares
-	packs    *packs
-	wire     *wire
-	peers    *peers
-	conns    *forward.ConnPool
-	limiter  *limiter
-	quotas   *quotas
-	ledger   *once.Ledger
-	configs  config.Log
-	writer   config.Writer
-	events   *eventLog
-	leaving  *leaving
-	watch    *memberWatch
-	traffic  *traffic
-	suspects *suspects
+	members   *member.Table
+	records   *records
+	source    store.Source
+	services  *services
+	carriers  *carriers
+	demand    *demand
+	duty      *duty
+	lag       *lag
+	handOn    *handOn
+	pulls     *pulls
+	compares  *compares
+	packs     *packs
+	wire      *wire
+	peers     *peers
+	conns     *forward.ConnPool
+	limiter   *limiter
+	quotas    *quotas
+	ledger    *once.Ledger
+	configs   config.Log
+	writer    config.Writer
+	events    *eventLog
+	leaving   *leaving
+	memberLog *memberLog
+	traffic   *traffic
+	suspects  *suspects
 
 	doors []*door.Server
 	done  chan struct{}
@@ -155,7 +155,7 @@
 	n.events = newEventLog(n.self, n.platform.Objects, n.clock)
 	n.events.wanted = s.Node.Operators != ""
 	n.leaving = newLeaving(n)
-	n.watch = newMemberWatch(n)
+	n.memberLog = newMemberLog(n)
 	n.traffic = newTraffic(n)
 	n.metrics.gauges(n)
 }
@@ -187,8 +187,8 @@
 		server        *http.Server
 		rest          func() time.Duration
 	}{
-		{callersDoor, s.Callers, n.callersServer(), n.callersRest},
-		{peersDoor, s.Peers, &http.Server{Handler: n.peersDoor()}, nil},
+		{callersDoor, s.Callers, n.callersServer(), n.callersIdleTimeout},
+		{peersDoor, s.Peers, &http.Server{Handler: n.peersHandler()}, nil},
 		{"readiness", s.Readiness, &http.Server{Handler: n.readinessDoor()}, nil},
 		{"directory", s.Directory, &http.Server{Handler: n.directoryDoor()}, nil},
 		{"operators", s.Operators, &http.Server{Handler: n.operatorsDoor()}, nil},
@@ -197,7 +197,7 @@
 		if d.address == "" {
 			continue
 		}
-		d.server.ErrorLog = quietLog(n.log)
+		d.server.ErrorLog = httpErrorLog(n.log)
 		opened, err := door.Listen(d.name, d.address, d.server, d.rest)
 		if err != nil {
 			return err
@@ -230,9 +230,9 @@
 	}
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	parts := n.startParts(background)
+	parts := n.startTasks(background)
 	n.sendGossip(n.members.Join())
-	n.tellStart()
+	n.logStart()
 	select {
 	case <-ctx.Done():
 	case <-n.leaving.asked:
@@ -246,7 +246,7 @@
 	stop()
 	cancel()
 	for _, p := range parts {
-		p.end()
+		p.stop()
 	}
 	n.log.WithFields(logrus.Fields{"event": "stopped", "node": n.self.Node, "error": err}).Warn()
 	n.log.Close()
@@ -263,19 +263,19 @@
 	n.close()
 }
 
-func (n *Node) startParts(ctx context.Context) []*part {
-	parts := []*part{
-		start(ctx, n.receive),
-		start(ctx, n.followSettings),
-		every(ctx, tickEvery, n.tick),
-		every(ctx, purgeEvery, func(context.Context) { n.conns.CloseExpired() }),
-		start(ctx, n.suspects.write),
+func (n *Node) startTasks(ctx context.Context) []*task {
+	parts := []*task{
+		startTask(ctx, n.receive),
+		startTask(ctx, n.watchSettings),
+		startPeriodic(ctx, tickInterval, n.tick),
+		startPeriodic(ctx, purgeInterval, func(context.Context) { n.conns.CloseExpired() }),
+		startTask(ctx, n.suspects.write),
 	}
 	for _, k := range n.watched() {
-		parts = append(parts, start(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
+		parts = append(parts, startTask(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
 	}
 	if n.settings().Node.Operators != "" {
-		parts = append(parts, every(ctx, eventsEvery, n.events.tick))
+		parts = append(parts, startPeriodic(ctx, eventsInterval, n.events.tick))
 	}
 	return parts
 }
@@ -304,7 +304,7 @@
 	n.services.tick()
 	n.records.tick()
 	n.quotas.tick()
-	n.watch.tick()
+	n.memberLog.tick()
 	n.traffic.tick()
 	n.suspects.tick()
 	n.events.setNodes(len(n.members.Live()) + 1)
--- a/node/outgoing.go
+++ b/node/outgoing.go
@@ -117,7 +117,7 @@
 func (x *exchange) outgoing(l *pool.Lease) *forward.Request {
 	h := x.r.Header.Clone()
 	forward.DropHopByHop(h)
-	for _, name := range nodesOnly {
+	for _, name := range nodeOnlyHeaders {
 		h.Del(name)
 	}
 	x.identify(h)
--- a/node/part.go
+++ b/node/part.go
@@ -7,16 +7,16 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A part is something that runs in the background until told to stop. Done is closed at its end.
-type part struct {
-	stop context.CancelFunc
-	done chan struct{}
+// A task is something that runs in the background until told to stop. Done is closed at its end.
+type task struct {
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
-// start runs f as a part.
-func start(ctx context.Context, f func(ctx context.Context)) *part {
+// startTask runs f as a part.
+func startTask(ctx context.Context, f func(ctx context.Context)) *task {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &part{stop: cancel, done: make(chan struct{})}
+	p := &task{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
 		f(ctx)
@@ -24,9 +24,9 @@
 	return p
 }
 
-// every starts a part that calls f again and again.
-func every(ctx context.Context, d clock.Millis, f func(ctx context.Context)) *part {
-	return start(ctx, func(ctx context.Context) {
+// startPeriodic starts a part that calls f again and again.
+func startPeriodic(ctx context.Context, d clock.Millis, f func(ctx context.Context)) *task {
+	return startTask(ctx, func(ctx context.Context) {
 		t := time.NewTicker(d.Duration())
 		defer t.Stop()
 		for {
@@ -40,14 +40,14 @@
 	})
 }
 
-// end stops the part and waits for its end.
-func (p *part) end() {
-	p.stop()
+// stop stops the part and waits for its stop.
+func (p *task) stop() {
+	p.cancel()
 	<-p.done
 }
 
-// pause waits, and returns false if the context ends first.
-func pause(ctx context.Context, d clock.Millis) bool {
+// sleep waits, and returns false if the context ends first.
+func sleep(ctx context.Context, d clock.Millis) bool {
 	t := time.NewTimer(d.Duration())
 	defer t.Stop()
 	select {
--- a/node/peers.go
+++ b/node/peers.go
@@ -25,23 +25,23 @@
 const (
 	// heldTimeout bounds a question for the version of a document that another node uses.
 	heldTimeout clock.Millis = 400
-	// syncPause is the least time between two comparisons that a difference asks for.
-	syncPause clock.Millis = 50
-	// mergeEvery is how often a node compares itself with another without a reason.
-	mergeEvery = 15 * clock.Second
-	// startMerges is how often it does so for startFor from its start: those that it asked first may have started with
+	// syncMinGap is the least time between two comparisons that a difference asks for.
+	syncMinGap clock.Millis = 50
+	// fullSyncInterval is how often a node compares itself with another without a reason.
+	fullSyncInterval = 15 * clock.Second
+	// startupSyncInterval is how often it does so for startFor from its start: those that it asked first may have started with
 	// it, and know as few.
-	startMerges clock.Millis = 200
-	startFor    clock.Millis = 1500
-	// mergeMembers is how many members such a comparison brings in startMerges: more take longer, since each of as many nodes
+	startupSyncInterval clock.Millis = 200
+	startupPeriod       clock.Millis = 1500
+	// startupSyncMembers is how many members such a comparison brings in startMerges: more take longer, since each of as many nodes
 	// brings all of them.
-	mergeMembers = 100
-	// membersTold is how many members a node tells the one that it compares itself with.
-	membersTold = 64
+	startupSyncMembers = 100
+	// maxMembersSent is how many members a node tells the one that it compares itself with.
+	maxMembersSent = 64
 	// joinFor is how long a node that knows nobody asks all its seeds at once, again and again.
 	joinFor = 2 * clock.Second
-	// peerIdle is how long connections to other nodes are kept.
-	peerIdle = 5 * time.Second
+	// peerIdleTimeout is how long connections to other nodes are kept.
+	peerIdleTimeout = 5 * time.Second
 )
 
 // syncLimits bounds a comparison with another node. An answer that keeps coming is not given up.
@@ -52,33 +52,33 @@
 	node *Node
 	http *http.Client
 
-	mu       sync.Mutex
-	syncing  bool
-	syncedAt clock.Millis
-	mergedAt clock.Millis
-	joined   bool
-	// turnedAway says that the node that was compared with last had no room to give what this one lacks.
-	turnedAway bool
+	mu         sync.Mutex
+	syncing    bool
+	syncedAt   clock.Millis
+	fullSyncAt clock.Millis
+	joined     bool
+	// sourceBusy says that the node that was compared with last had no room to give what this one lacks.
+	sourceBusy bool
 }
 
 func newPeers(n *Node) *peers {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
-	t.IdleConnTimeout = peerIdle
-	c := &http.Client{Transport: &doorTransport{base: t, keys: n.keys}}
-	return &peers{node: n, http: c, mergedAt: n.clock.Now()}
+	t.IdleConnTimeout = peerIdleTimeout
+	c := &http.Client{Transport: &peerTransport{base: t, keys: n.keys}}
+	return &peers{node: n, http: c, fullSyncAt: n.clock.Now()}
 }
 
-// A doorTransport proves this node to peers.
-type doorTransport struct {
+// A peerTransport proves this node to peers.
+type peerTransport struct {
 	base http.RoundTripper
 	keys *keyring
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *doorTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *peerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
-	r.Header.Set(HeaderPeerKey, t.keys.doorKey())
+	r.Header.Set(HeaderPeerKey, t.keys.peerKey())
 	res, err := t.base.RoundTrip(r)
 	if g, found := r.Context().Value(guardKey{}).(*stall.Guard); found && err == nil {
 		res.Body = g.Body(res.Body)
@@ -94,14 +94,14 @@
 	return context.WithValue(ctx, guardKey{}, g)
 }
 
-// peersDoor serves other nodes only.
-func (n *Node) peersDoor() http.Handler {
+// peersHandler serves other nodes only.
+func (n *Node) peersHandler() http.Handler {
 	m := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	path, h := tinladderv1connect.NewFleetServiceHandler(n.peers, connect.WithCompressMinBytes(math.MaxInt32)) // what is large is packed
 	m.PathPrefix(path).Handler(h)
 	m.PathPrefix("/").HandlerFunc(n.serveForPeer)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !n.keys.opensDoor(r.Header.Get(HeaderPeerKey)) {
+		if !n.keys.acceptsPeerKey(r.Header.Get(HeaderPeerKey)) {
 			http.Error(w, "peers only", http.StatusForbidden)
 			return
 		}
@@ -132,17 +132,17 @@
 	if !req.Msg.GetRecordsOnly() {
 		rest.Members = unknownTo(n.members.All(), req.Msg.GetKnown())
 	}
-	given := p.giveMany(req.Msg, rest, res)
+	given := p.addBulk(req.Msg, rest, res)
 	if rest != res {
-		p.pack(rest, res)
+		p.addCompressed(rest, res)
 	}
 	n.metrics.syncServed(len(res.Records) > 0 || given, proto.Size(res))
 	return connect.NewResponse(res), nil
 }
 
-// giveMany adds reports, and records of the kinds of which there are many, as far as this node has room for them: to the
+// addBulk adds reports, and records of the kinds of which there are many, as far as this node has room for them: to the
 // rest, or whole sets as packs.
-func (p *peers) giveMany(req *tlv1.SyncRequest, rest, res *tlv1.SyncResponse) (given bool) {
+func (p *peers) addBulk(req *tlv1.SyncRequest, rest, res *tlv1.SyncResponse) (given bool) {
 	n := p.node
 	if !req.GetRecordsOnly() {
 		n.compares.give(func() (made, sent int) {
@@ -156,12 +156,12 @@
 		switch {
 		case k == store.State || k == store.Evacuations || !p.differs(theirs):
 		case !req.GetPacks():
-			given = p.giveRecords(k, theirs, rest) || given
+			given = p.addDiff(k, theirs, rest) || given
 		default:
 			after, many := n.packs.wanted(k, theirs)
 			if !many {
-				given = p.giveRecords(k, theirs, rest) || given
-			} else if x := p.givePack(packKey{kind: k, after: after}); x != nil {
+				given = p.addDiff(k, theirs, rest) || given
+			} else if x := p.buildPack(packKey{kind: k, after: after}); x != nil {
 				res.Packs, given = append(res.Packs, x), true
 			}
 		}
@@ -169,8 +169,8 @@
 	return given
 }
 
-// giveRecords adds the records of the parts of a set that differ to the rest of an answer, if this node has room for that.
-func (p *peers) giveRecords(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
+// addDiff adds the records of the parts of a set that differ to the rest of an answer, if this node has room for that.
+func (p *peers) addDiff(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
 	n := p.node
 	return n.compares.give(func() (made, sent int) {
 		list := n.records.wire(k, n.records.sets[k].Diff(theirs.GetSums()))
@@ -180,11 +180,11 @@
 	})
 }
 
-// givePack returns many records as they are sent to a node that lacks them; nil if this node has no room for that. One that
+// buildPack returns many records as they are sent to a node that lacks them; nil if this node has no room for that. One that
 // carries little leaves it to those of its hall that carry the most.
-func (p *peers) givePack(key packKey) (given *tlv1.Pack) {
+func (p *peers) buildPack(key packKey) (given *tlv1.Pack) {
 	n := p.node
-	if !n.isStrong(n.members.Self()) {
+	if !n.hasHighCapacity(n.members.Self()) {
 		return nil
 	}
 	n.compares.give(func() (made, sent int) {
@@ -203,12 +203,12 @@
 	return given
 }
 
-// leastSmall is how many bytes an answer must have to be compressed.
-const leastSmall = 1 << 10
+// minCompressBytes is how many bytes an answer must have to be compressed.
+const minCompressBytes = 1 << 10
 
-// pack adds the rest of an answer to it, compressed if that is worth it.
-func (p *peers) pack(rest, res *tlv1.SyncResponse) {
-	if proto.Size(rest) >= leastSmall {
+// addCompressed adds the rest of an answer to it, compressed if that is worth it.
+func (p *peers) addCompressed(rest, res *tlv1.SyncResponse) {
+	if proto.Size(rest) >= minCompressBytes {
 		answer, _, err := packed(rest)
 		if err == nil {
 			res.Packs = append(res.Packs, &tlv1.Pack{Answer: answer})
@@ -219,8 +219,8 @@
 	res.Members, res.Reports, res.Records = rest.Members, rest.Reports, append(res.Records, rest.Records...)
 }
 
-// isStrong says whether the member carries at least half of what the one of its hall does that carries the most.
-func (n *Node) isStrong(m *tlv1.Member) bool {
+// hasHighCapacity says whether the member carries at least half of what the one of its hall does that carries the most.
+func (n *Node) hasHighCapacity(m *tlv1.Member) bool {
 	most := n.members.Self().GetWeight()
 	for _, o := range n.members.Live() {
 		if hallOf(o) == hallOf(m) {
@@ -230,8 +230,8 @@
 	return 2*m.GetWeight() >= most
 }
 
-// strongNode returns a node of this hall by chance that carries much; nil if there is none.
-func (n *Node) strongNode() *tlv1.Member {
+// highCapacityNode returns a node of this hall by chance that carries much; nil if there is none.
+func (n *Node) highCapacityNode() *tlv1.Member {
 	var most uint32
 	var strong []*tlv1.Member
 	for _, m := range n.members.Live() {
@@ -266,8 +266,8 @@
 	return !pulls || r.stateSize() <= wholeRecord
 }
 
-// met compares this node with the first other one that it hears from.
-func (p *peers) met(m *tlv1.Member) {
+// syncOnFirstContact compares this node with the first other one that it hears from.
+func (p *peers) syncOnFirstContact(m *tlv1.Member) {
 	p.mu.Lock()
 	joined := p.joined
 	p.mu.Unlock()
@@ -276,8 +276,8 @@
 	}
 }
 
-// lonely says whether this node has met no other one, though its settings name some.
-func (p *peers) lonely() bool {
+// isAlone says whether this node has met no other one, though its settings name some.
+func (p *peers) isAlone() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.node.settings().Node.PeersAddress()
@@ -289,10 +289,10 @@
 	now := p.node.clock.Now()
 	p.mu.Lock()
 	joining := !p.joined && now-p.node.duty.startedAt < joinFor
-	pause := startMerges * clock.Millis(max(1, len(p.node.members.Live())/mergeMembers))
-	due := now-p.mergedAt >= mergeEvery || now-p.node.duty.startedAt < startFor+pause && now-p.mergedAt >= pause
+	pause := startupSyncInterval * clock.Millis(max(1, len(p.node.members.Live())/startupSyncMembers))
+	due := now-p.fullSyncAt >= fullSyncInterval || now-p.node.duty.startedAt < startupPeriod+pause && now-p.fullSyncAt >= pause
 	if due {
-		p.mergedAt = now
+		p.fullSyncAt = now
 	}
 	p.mu.Unlock()
 	if joining {
@@ -311,17 +311,17 @@
 func (p *peers) sync(address string, whole bool) {
 	now := p.node.clock.Now()
 	p.mu.Lock()
-	if p.syncing || now-p.syncedAt < syncPause {
+	if p.syncing || now-p.syncedAt < syncMinGap {
 		p.mu.Unlock()
 		return
 	}
 	p.syncing, p.syncedAt = true, now
 	whole = whole || !p.joined
-	elsewhere := p.turnedAway && !whole
-	p.turnedAway = false
+	elsewhere := p.sourceBusy && !whole
+	p.sourceBusy = false
 	p.mu.Unlock()
 	if elsewhere {
-		if m := p.node.strongNode(); m != nil {
+		if m := p.node.highCapacityNode(); m != nil {
 			address = m.GetPeerAddress()
 		}
 	}
@@ -348,7 +348,7 @@
 	if whole {
 		req.Members = n.members.All()
 		req.Known = hashes(req.Members)
-		req.Members = req.Members[:min(len(req.Members), membersTold)] // the first is this node; others ask for the rest
+		req.Members = req.Members[:min(len(req.Members), maxMembersSent)] // the first is this node; others ask for the rest
 	}
 	c := tinladderv1connect.NewFleetServiceClient(p.http, "http://"+address)
 	res, err := c.Sync(withGuard(ctx, guard), connect.NewRequest(req))
@@ -368,7 +368,7 @@
 	}
 	if !n.duty.mergeKindSums(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
 		p.mu.Lock()
-		p.turnedAway = true
+		p.sourceBusy = true
 		p.mu.Unlock()
 	}
 	return true
--- a/node/pull.go
+++ b/node/pull.go
@@ -98,7 +98,7 @@
 		if p.ask(ctx, address) {
 			p.endAll()
 		} else {
-			pause(ctx, pullPause+rand.N(pullPauseMore))
+			sleep(ctx, pullPause+rand.N(pullPauseMore))
 		}
 		address = p.next(address)
 	}
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -86,7 +86,7 @@
 		Seeds: named, SeedsReached: met,
 		Sharers: nodesOf(sharing), IsSharer: n.isAmong(sharing),
 		SharerCount: len(sharing), Live: live, PeakLive: q.known.see(live, now),
-		Isolated: n.peers.lonely() && now-n.duty.startedAt < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
+		Isolated: n.peers.isAlone() && now-n.duty.startedAt < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
 	}
 	if v.ReachedAllSeeds() {
 		q.metAll.Store(true)
--- a/node/reload.go
+++ b/node/reload.go
@@ -14,15 +14,15 @@
 	"github.com/tinladder/tinladder/settings"
 )
 
-// settingsEvery is how often the settings file is looked at for changes that no signal told of.
-const settingsEvery = 2 * clock.Second
+// settingsInterval is how often the settings file is looked at for changes that no signal told of.
+const settingsInterval = 2 * clock.Second
 
-// followSettings takes over changes of the settings file, on SIGHUP and without.
-func (n *Node) followSettings(ctx context.Context) {
+// watchSettings takes over changes of the settings file, on SIGHUP and without.
+func (n *Node) watchSettings(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	t := time.NewTicker(settingsEvery.Duration())
+	t := time.NewTicker(settingsInterval.Duration())
 	defer t.Stop()
 	last := stampOf(n.path)
 	n.reload("changed while the node started")
--- a/node/server.go
+++ b/node/server.go
@@ -39,8 +39,8 @@
 	return l
 }
 
-// callersRest is how long a caller's connection may rest, by the limits that are in force: the library's server takes
+// callersIdleTimeout is how long a caller's connection may rest, by the limits that are in force: the library's server takes
 // its own only at its start.
-func (n *Node) callersRest() time.Duration {
+func (n *Node) callersIdleTimeout() time.Duration {
 	return n.limits().IdleTimeout.Duration()
 }
--- a/node/speech.go
+++ b/node/speech.go
@@ -65,8 +65,8 @@
 // ownRequest are the headers of the fleet's own interface that say what a request is.
 var ownRequest = []string{HeaderToken, HeaderService, HeaderKey, HeaderDeadline}
 
-// nodesOnly are headers that only nodes set, or read.
-var nodesOnly = []string{
+// nodeOnlyHeaders are headers that only nodes set, or read.
+var nodeOnlyHeaders = []string{
 	HeaderToken, HeaderPassed, HeaderCaller, HeaderPeerKey, HeaderService, HeaderDeadline, HeaderKey,
 	"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto",
 }
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -139,7 +139,7 @@
 			if !s.writeAll(ctx, list) {
 				wait += awayPause
 			}
-			if !pause(ctx, wait) {
+			if !sleep(ctx, wait) {
 				return
 			}
 		}
--- a/node/traffic.go
+++ b/node/traffic.go
@@ -8,40 +8,40 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// trafficEvery is how often the log is told what this node has sent to others.
-const trafficEvery = 10 * clock.Second
+// trafficInterval is how often the log is told what this node has sent to others.
+const trafficInterval = 10 * clock.Second
 
 // traffic tells the log now and then how much this node sends to other nodes, by kind of message, and how often it
 // called the store. Bytes that leave the hall cost the most, so they are told apart.
 type traffic struct {
-	node *Node
-	at   clock.Millis
-	told map[peerTraffic]uint64
-	// calls are those to the store, as last told.
-	calls uint64
+	node        *Node
+	at          clock.Millis
+	loggedBytes map[peerTraffic]uint64
+	// loggedCalls are those to the store, as last told.
+	loggedCalls uint64
 }
 
 func newTraffic(n *Node) *traffic {
-	return &traffic{node: n, told: map[peerTraffic]uint64{}}
+	return &traffic{node: n, loggedBytes: map[peerTraffic]uint64{}}
 }
 
 // tick tells what was sent since the last time, if there was anything.
 func (t *traffic) tick() {
 	now := t.node.clock.Now()
-	if now-t.at < trafficEvery {
+	if now-t.at < trafficInterval {
 		return
 	}
 	t.at = now
 	f := logrus.Fields{"event": "traffic"}
 	for _, p := range allPeerTraffic() {
-		if sum := t.node.metrics.peers[p].Get(); sum > t.told[p] {
-			f[p.field()] = sum - t.told[p]
-			t.told[p] = sum
+		if sum := t.node.metrics.peers[p].Get(); sum > t.loggedBytes[p] {
+			f[p.logField()] = sum - t.loggedBytes[p]
+			t.loggedBytes[p] = sum
 		}
 	}
-	if calls := t.node.metrics.storeCalls.Get(); calls > t.calls {
-		f["store_calls"] = calls - t.calls
-		t.calls = calls
+	if calls := t.node.metrics.storeCalls.Get(); calls > t.loggedCalls {
+		f["store_calls"] = calls - t.loggedCalls
+		t.loggedCalls = calls
 	}
 	if len(f) > 1 {
 		t.node.log.WithFields(f).Info()
@@ -75,8 +75,8 @@
 	return fmt.Sprintf(`tinladder_peer_bytes_total{kind=%q,far="%v"}`, p.kind, p.far)
 }
 
-// field is the name in the log.
-func (p peerTraffic) field() string {
+// logField is the name in the log.
+func (p peerTraffic) logField() string {
 	if p.far {
 		return p.kind + "_far"
 	}
--- a/node/watch.go
+++ b/node/watch.go
@@ -12,8 +12,8 @@
 // namedInLine bounds the nodes that one line of the log names.
 const namedInLine = 8
 
-// tellStart tells what this process is, and what it goes by.
-func (n *Node) tellStart() {
+// logStart tells what this process is, and what it goes by.
+func (n *Node) logStart() {
 	s := n.settings()
 	n.log.WithFields(logrus.Fields{
 		"event": "started", "node": n.self.Node, "process": n.self, "hall": n.hall(), "callers": s.Node.Callers,
@@ -22,19 +22,19 @@
 	}).Warn()
 }
 
-// A memberWatch tells the log of changes among the other nodes, one line for each kind of change.
-type memberWatch struct {
+// A memberLog tells the log of changes among the other nodes, one line for each kind of change.
+type memberLog struct {
 	node    *Node
 	version uint64
 	known   map[ident.Process]string
 }
 
-func newMemberWatch(n *Node) *memberWatch {
-	return &memberWatch{node: n, known: map[ident.Process]string{}}
+func newMemberLog(n *Node) *memberLog {
+	return &memberLog{node: n, known: map[ident.Process]string{}}
 }
 
 // tick compares the nodes with those that were there when last looked at.
-func (w *memberWatch) tick() {
+func (w *memberLog) tick() {
 	v := w.node.members.Version()
 	if v == w.version {
 		return
@@ -44,7 +44,7 @@
 	changes := map[string][]string{}
 	for _, m := range w.node.members.Live() {
 		p := processOf(m)
-		now[p] = standing(m)
+		now[p] = memberStateName(m)
 		if w.known[p] != now[p] {
 			changes[now[p]] = append(changes[now[p]], m.GetNode())
 		}
@@ -62,8 +62,8 @@
 	}
 }
 
-// standing says how a node is held.
-func standing(m *tlv1.Member) string {
+// memberStateName says how a node is held.
+func memberStateName(m *tlv1.Member) string {
 	switch {
 	case m.GetState() == tlv1.NodeState_NODE_STATE_SUSPECT:
 		return "suspected"
--- a/node/wire.go
+++ b/node/wire.go
@@ -18,8 +18,8 @@
 	macSize = 16
 	// maxDatagram is the largest datagram taken. Those sent are far smaller.
 	maxDatagram = 8 << 10
-	// doorContext keeps the proof for the peers' door apart from datagrams' signatures.
-	doorContext = "tinladder peers' door"
+	// peerKeyContext keeps the proof for the peers' door apart from datagrams' signatures.
+	peerKeyContext = "tinladder peers' door"
 )
 
 // errForged says that a datagram was not signed by a peer.
@@ -28,14 +28,14 @@
 // A keyring holds the keys that peers share. The first one signs; all are taken, so that a key
 // can be replaced without a gap. Without keys nothing is signed.
 type keyring struct {
-	keys  [][]byte
-	doors []string
+	keys     [][]byte
+	peerKeys []string
 }
 
 func newKeyring(keys [][]byte) *keyring {
 	k := &keyring{keys: keys}
 	for _, key := range keys {
-		k.doors = append(k.doors, hex.EncodeToString(mac(key, []byte(doorContext))))
+		k.peerKeys = append(k.peerKeys, hex.EncodeToString(mac(key, []byte(peerKeyContext))))
 	}
 	return k
 }
@@ -46,7 +46,7 @@
 	return h.Sum(nil)[:macSize]
 }
 
-func (k *keyring) seal(p *tlv1.Parcel) ([]byte, error) {
+func (k *keyring) sign(p *tlv1.Parcel) ([]byte, error) {
 	body, err := proto.Marshal(p)
 	if err != nil || len(k.keys) == 0 {
 		return body, errors.Wrap(err, "encode datagram")
@@ -54,7 +54,7 @@
 	return append(mac(k.keys[0], body), body...), nil
 }
 
-func (k *keyring) open(b []byte) (*tlv1.Parcel, error) {
+func (k *keyring) verify(b []byte) (*tlv1.Parcel, error) {
 	body, err := k.body(b)
 	if err != nil {
 		return nil, err
@@ -78,17 +78,17 @@
 	return nil, errForged
 }
 
-// doorKey proves this node at a peer's door.
-func (k *keyring) doorKey() string {
-	if len(k.doors) == 0 {
+// peerKey proves this node at a peer's door.
+func (k *keyring) peerKey() string {
+	if len(k.peerKeys) == 0 {
 		return ""
 	}
-	return k.doors[0]
+	return k.peerKeys[0]
 }
 
-func (k *keyring) opensDoor(s string) bool {
-	found := len(k.doors) == 0
-	for _, d := range k.doors {
+func (k *keyring) acceptsPeerKey(s string) bool {
+	found := len(k.peerKeys) == 0
+	for _, d := range k.peerKeys {
 		found = hmac.Equal([]byte(d), []byte(s)) || found
 	}
 	return found
@@ -120,7 +120,7 @@
 	if len(addresses) == 0 {
 		return
 	}
-	b, err := w.keys.seal(p)
+	b, err := w.keys.sign(p)
 	if err != nil {
 		return
 	}
@@ -145,7 +145,7 @@
 		if err != nil {
 			continue
 		}
-		if p, err := w.keys.open(buf[:n]); err == nil {
+		if p, err := w.keys.verify(buf[:n]); err == nil {
 			return p, nil
 		}
 	}
@@ -161,11 +161,11 @@
 		if err != nil {
 			return
 		}
-		n.metrics.heard.Inc()
+		n.metrics.datagrams.Inc()
 		switch b := p.GetBody().(type) {
 		case *tlv1.Parcel_Gossip:
 			n.sendGossip(n.members.Receive(b.Gossip))
-			n.peers.met(b.Gossip.GetFrom())
+			n.peers.syncOnFirstContact(b.Gossip.GetFrom())
 		case *tlv1.Parcel_Confirm:
 			n.duty.receiveConfirm(b.Confirm)
 		case *tlv1.Parcel_Records:
