--- a/node/compare_test.go
+++ b/node/compare_test.go
@@ -29,7 +29,7 @@
 		f.store.Put("servers", fmt.Sprint("i-", i), standin.TargetRow("127.0.0.1:9", "desk", "h0", "ready", 3))
 	}
 	f.calm(3)
-	f.eventually("all targets are known", func() bool { return inForce(n, 3) && f.taken(n) == targets })
+	f.eventually("all targets are known", func() bool { return inForce(n, 3) && f.poolTargets(n) == targets })
 	var mu sync.Mutex
 	given, answered := 0, 0
 	begun := time.Now()
@@ -74,7 +74,7 @@
 		f.store.Put("servers", fmt.Sprint("i-", i), standin.TargetRow("127.0.0.1:9", "desk", "h0", "ready", 3))
 	}
 	f.calm(3)
-	f.eventually("all targets are known", func() bool { return f.taken(n) == 3000 })
+	f.eventually("all targets are known", func() bool { return f.poolTargets(n) == 3000 })
 	c := tinladderv1connect.NewFleetServiceClient(http.DefaultClient, "http://"+n.peers)
 	size := 0
 	for b.Loop() {
@@ -101,7 +101,7 @@
 	for range 5 {
 		n.stop()
 		<-n.node.Done()
-		n.log = &lines{}
+		n.log = &logBuffer{}
 		f.start(n)
 		f.eventually("it has both", func() bool { return inForce(n, 3) && strings.Contains(n.log.String(), "event=target_record") })
 		var state, target int
--- a/node/crash_kinds_test.go
+++ b/node/crash_kinds_test.go
@@ -195,7 +195,7 @@
 func TestOperatorLiftsARequest(t *testing.T) {
 	is := is.New(t)
 	sum := sha256.Sum256([]byte(adminToken))
-	f := startFleet(t, 2, &fleet{operated: true, via: func(s string) string { return s }, more: func(int) string {
+	f := startFleet(t, 2, &fleet{operated: true, via: func(s string) string { return s }, extraSettings: func(int) string {
 		return fmt.Sprintf("[operators]\nadmin_token_sha256 = %q\n", hex.EncodeToString(sum[:]))
 	}})
 	f.calm(1)
--- a/node/crash_own_test.go
+++ b/node/crash_own_test.go
@@ -111,7 +111,7 @@
 		sum := sha256.Sum256([]byte(s))
 		return sum[:]
 	}
-	f := startFleet(t, 3, &fleet{operated: true, via: func(s string) string { return s }, more: func(int) string {
+	f := startFleet(t, 3, &fleet{operated: true, via: func(s string) string { return s }, extraSettings: func(int) string {
 		return fmt.Sprintf("[operators]\nadmin_token_sha256 = %q\n", hex.EncodeToString(hash(adminToken)))
 	}})
 	f.apply(&tlv1.Document{Key: "ws/tuul", Body: &tlv1.Document_Workspace{Workspace: &tlv1.Workspace{
--- a/node/duty.go
+++ b/node/duty.go
@@ -55,10 +55,10 @@
 	node      *Node
 	hall      *watcher.Hall
 	startedAt clock.Millis
-	// hasOtherSeeds says that the settings name other nodes, and patience where chance has put this one among those that wait for
+	// waitsAtStart says that the settings name other nodes, and patience where chance has put this one among those that wait for
 	// others after their start, from 0 to 1.
-	hasOtherSeeds bool
-	startJitter   float64
+	waitsAtStart bool
+	startJitter  float64
 
 	mu sync.Mutex
 	// confirmedAt is when the store was last known to hold nothing newer of a kind, whoever asked it.
@@ -88,7 +88,7 @@
 
 func newDuty(n *Node) *duty {
 	return &duty{
-		node: n, startedAt: n.clock.Now(), hasOtherSeeds: waitsForOthers(n), startJitter: rand.Float64(), confirmedAt: map[store.Kind]clock.Millis{},
+		node: n, startedAt: n.clock.Now(), waitsAtStart: waitsForOthers(n), startJitter: rand.Float64(), confirmedAt: map[store.Kind]clock.Millis{},
 		queriedAt: map[store.Kind]clock.Millis{}, cursors: map[store.Kind]store.Cursor{}, differences: map[store.Kind]difference{}, hall: watcher.New(n.clock, n.self), cachedRank: -1,
 	}
 }
@@ -186,7 +186,7 @@
 // startDelay is how long this node waits for that: each for another time, and the longer the more nodes are known, so that a
 // fleet that starts at once does not ask as one.
 func (d *duty) startDelay() clock.Millis {
-	if !d.hasOtherSeeds {
+	if !d.waitsAtStart {
 		return 0
 	}
 	size := max(1, float64(len(d.node.members.Live()))/startDelayNodes)
--- a/node/first_look_test.go
+++ b/node/first_look_test.go
@@ -14,9 +14,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestFirstTargetsAreTakenAtOnce brings a node its targets right after its first state. It looked at its targets as the
+// TestFirstTargetsAreUsedAtOnce brings a node its targets right after its first state. It looked at its targets as the
 // state came, and used to wait 0.1 s until the next look: 42 requests were refused for want of targets that it knew.
-func TestFirstTargetsAreTakenAtOnce(t *testing.T) {
+func TestFirstTargetsAreUsedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
 	log, err := logs.New(io.Discard, "error")
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -24,8 +24,8 @@
 	"github.com/tinladder/tinladder/settings"
 )
 
-// patience is the longest that a test waits for what must come. It bounds no promise.
-const patience = 20 * time.Second
+// eventuallyTimeout is the longest that a test waits for what must come. It bounds no promise.
+const eventuallyTimeout = 20 * time.Second
 
 // fleet is a stand-in for the platform, and nodes in this process on loopback.
 type fleet struct {
@@ -44,8 +44,8 @@
 	operated bool
 	// lonely nodes hear of no other one.
 	lonely bool
-	// more is added to a node's settings, by its place.
-	more func(i int) string
+	// extraSettings is added to a node's settings, by its place.
+	extraSettings func(i int) string
 }
 
 // testNode is one node. It reaches the store by a door of its own.
@@ -62,31 +62,31 @@
 	muffler *muffler
 	// relay is the way of others to a node with a link.
 	relay *emulate.Relay
-	// more is added to the node's settings.
-	more string
-	door *standin.Door
+	// extraSettings is added to the node's settings.
+	extraSettings string
+	door          *standin.Door
 	// clock is the node's own, if it is not the fleet's.
 	clock clock.Clock
 	path  string
 	node  *node.Node
 	stop  context.CancelFunc
-	log   *lines
+	log   *logBuffer
 }
 
-// lines keeps what a node logs.
-type lines struct {
+// logBuffer keeps what a node logs.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -108,8 +108,8 @@
 }
 
 // newFleetWith starts nodes, each with more settings by its place.
-func newFleetWith(t testing.TB, nodes int, more func(i int) string) *fleet {
-	return startFleet(t, nodes, &fleet{more: more, via: func(store string) string { return store }})
+func newFleetWith(t testing.TB, nodes int, extraSettings func(i int) string) *fleet {
+	return startFleet(t, nodes, &fleet{extraSettings: extraSettings, via: func(store string) string { return store }})
 }
 
 func startFleet(t testing.TB, nodes int, f *fleet) *fleet {
@@ -134,15 +134,15 @@
 func (f *fleet) add(nodes int) {
 	f.t.Helper()
 	for i := range nodes {
-		n := &testNode{name: fmt.Sprint("n", i), hall: fmt.Sprint("h", i%3), door: standin.NewDoor(f.store), log: &lines{}}
+		n := &testNode{name: fmt.Sprint("n", i), hall: fmt.Sprint("h", i%3), door: standin.NewDoor(f.store), log: &logBuffer{}}
 		free := emulate.Addresses(7)
 		n.callers, n.peers, n.readiness, n.directory, n.peersAt = free[0], free[1], free[2], free[3], free[1]
 		n.metrics = free[5]
 		if f.operated {
 			n.operators = free[6]
 		}
-		if f.more != nil {
-			n.more = f.more(i)
+		if f.extraSettings != nil {
+			n.extraSettings = f.extraSettings(i)
 		}
 		if f.linkBytes > 0 {
 			n.peersAt, n.link = free[4], emulate.NewLink(f.linkBytes)
@@ -168,7 +168,7 @@
 	}
 }
 
-func (f *fleet) settingsOf(n *testNode, more string) string {
+func (f *fleet) settingsOf(n *testNode, extra string) string {
 	seeds := fmt.Sprintf("%q", f.nodes[0].peers)
 	if len(f.nodes) > 1 {
 		seeds += fmt.Sprintf(", %q", f.nodes[1].peers)
@@ -189,7 +189,7 @@
 		}
 		f.t.Cleanup(func() { _ = l.Close() })
 		address = l.Addr().String()
-		more += fmt.Sprintf("[capacity]\nlink_mbps = %f\n", float64(f.linkBytes)/125_000)
+		extra += fmt.Sprintf("[capacity]\nlink_mbps = %f\n", float64(f.linkBytes)/125_000)
 	}
 	return fmt.Sprintf(`
 [node]
@@ -209,7 +209,7 @@
 [bounds]
 grace = "2s"
 %s
-`, n.name, n.hall, n.callers, n.peersAt, n.peers, n.readiness, n.directory, n.metrics, n.operators, address, seeds, more+n.more)
+`, n.name, n.hall, n.callers, n.peersAt, n.peers, n.readiness, n.directory, n.metrics, n.operators, address, seeds, extra+n.extraSettings)
 }
 
 func (f *fleet) start(n *testNode) {
@@ -270,13 +270,13 @@
 			text := n.log.String()
 			return f.status(n.readiness, platform.ReadyPath) == http.StatusOK &&
 				inForce(n, version) &&
-				strings.Count(text, "event=target_record") >= targets && f.taken(n) >= registered(text)
+				strings.Count(text, "event=target_record") >= targets && f.poolTargets(n) >= countRegistered(text)
 		})
 	}
 }
 
-// registered counts the targets whose last record in a node's log is not that they are gone.
-func registered(text string) (count int) {
+// countRegistered counts the targets whose last record in a node's log is not that they are gone.
+func countRegistered(text string) (count int) {
 	there := map[string]bool{}
 	for line := range strings.Lines(text) {
 		if !strings.Contains(line, "event=target_record") {
@@ -294,9 +294,9 @@
 	return count
 }
 
-// taken counts the targets that requests may go to: a node that has just looked at all of them takes over one that it has
+// poolTargets counts the targets that requests may go to: a node that has just looked at all of them takes over one that it has
 // heard of within 0.1 s.
-func (f *fleet) taken(n *testNode) int {
+func (f *fleet) poolTargets(n *testNode) int {
 	res, err := f.http.Get("http://" + n.metrics)
 	if err != nil {
 		return -1
@@ -324,7 +324,7 @@
 
 func (f *fleet) eventually(what string, ok func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
 			return
 		}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -200,27 +200,27 @@
 	return "once"
 }
 
-// workspacesShown is how many workspaces have figures of their own: those with the most requests. The others have one
+// maxWorkspaceSeries is how many workspaces have figures of their own: those with the most requests. The others have one
 // together.
-const workspacesShown = 24
+const maxWorkspaceSeries = 24
 
-// writeUses writes what workspaces with a limit made of it on this node.
-func writeUses(w io.Writer, uses []limit.Usage) {
+// writeUsage writes what workspaces with a limit made of it on this node.
+func writeUsage(w io.Writer, uses []limit.Usage) {
 	var rest limit.Usage
 	rest.Workspace = "(others)"
 	for i, u := range uses {
-		if i >= workspacesShown {
+		if i >= maxWorkspaceSeries {
 			rest.Used, rest.Refused = rest.Used+u.Used, rest.Refused+u.Refused
 			continue
 		}
-		writeUse(w, u)
+		writeWorkspaceUsage(w, u)
 	}
-	if len(uses) > workspacesShown {
-		writeUse(w, rest)
+	if len(uses) > maxWorkspaceSeries {
+		writeWorkspaceUsage(w, rest)
 	}
 }
 
-func writeUse(w io.Writer, u limit.Usage) {
+func writeWorkspaceUsage(w io.Writer, u limit.Usage) {
 	metrics.WriteCounterUint64(w, fmt.Sprintf(`tinladder_workspace_requests_total{workspace=%q,outcome="used"}`, u.Workspace), u.Used)
 	metrics.WriteCounterUint64(w, fmt.Sprintf(`tinladder_workspace_requests_total{workspace=%q,outcome="refused"}`, u.Workspace), u.Refused)
 	if u.Rate.Bounded() {
@@ -231,7 +231,7 @@
 
 func (m *nodeMetrics) write(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
-	writeUses(w, m.usage())
+	writeUsage(w, m.usage())
 	metrics.WriteProcessMetrics(w)
 }
 
--- a/node/need_test.go
+++ b/node/need_test.go
@@ -10,10 +10,10 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestTargetsAreHeldReadyByNeed starts 24 nodes, of which a few carry the service, and asks one that does not. Each node kept
+// TestOnlyServingNodesHoldTargetsReady starts 24 nodes, of which a few carry the service, and asks one that does not. Each node kept
 // a pool of all targets and looked at all of them at each change, however few callers it had: the cost of one node grew with
 // the targets of the whole fleet.
-func TestTargetsAreHeldReadyByNeed(t *testing.T) {
+func TestOnlyServingNodesHoldTargetsReady(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 24, func(int) string { return "\n[log]\nlevel = \"info\"\n" })
 	f.calm(1)
--- a/node/node.go
+++ b/node/node.go
@@ -230,7 +230,7 @@
 	}
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	parts := n.startTasks(background)
+	tasks := n.startTasks(background)
 	n.sendGossip(n.members.Join())
 	n.logStart()
 	select {
@@ -245,7 +245,7 @@
 	n.events.flush(flush)
 	stop()
 	cancel()
-	for _, p := range parts {
+	for _, p := range tasks {
 		p.stop()
 	}
 	n.log.WithFields(logrus.Fields{"event": "stopped", "node": n.self.Node, "error": err}).Warn()
@@ -264,7 +264,7 @@
 }
 
 func (n *Node) startTasks(ctx context.Context) []*task {
-	parts := []*task{
+	tasks := []*task{
 		startTask(ctx, n.receive),
 		startTask(ctx, n.watchSettings),
 		startPeriodic(ctx, tickInterval, n.tick),
@@ -272,12 +272,12 @@
 		startTask(ctx, n.suspects.write),
 	}
 	for _, k := range n.watched() {
-		parts = append(parts, startTask(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
+		tasks = append(tasks, startTask(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
 	}
 	if n.settings().Node.Operators != "" {
-		parts = append(parts, startPeriodic(ctx, eventsInterval, n.events.tick))
+		tasks = append(tasks, startPeriodic(ctx, eventsInterval, n.events.tick))
 	}
-	return parts
+	return tasks
 }
 
 // kinds are the kinds of records that the node holds.
--- a/node/packs_test.go
+++ b/node/packs_test.go
@@ -19,7 +19,7 @@
 // members and for what changed meanwhile.
 func TestAFleetThatStartsReadsItsTargetsOnce(t *testing.T) {
 	const nodes, targets = 24, 3000
-	f := &fleet{via: func(s string) string { return s }, more: func(i int) string {
+	f := &fleet{via: func(s string) string { return s }, extraSettings: func(i int) string {
 		cores := 0.16
 		if i < 3 {
 			cores = 1.6
@@ -32,7 +32,7 @@
 	f.calm(3)
 	f.add(nodes)
 	for _, n := range f.nodes {
-		f.eventually(n.name+" knows all targets", func() bool { return inForce(n, 3) && f.taken(n) == targets })
+		f.eventually(n.name+" knows all targets", func() bool { return inForce(n, 3) && f.poolTargets(n) == targets })
 	}
 	read := f.recordBytes()
 	t.Logf("%.0f bytes a node, all records are %d", read/nodes, packed)
@@ -45,7 +45,7 @@
 // there are each time; it may read what is new once, and twice as much for what else goes with it.
 func TestAFleetReadsWhatIsNewOnce(t *testing.T) {
 	const nodes, targets, more, times = 24, 3000, 600, 5
-	f := &fleet{via: func(s string) string { return s }, more: func(int) string {
+	f := &fleet{via: func(s string) string { return s }, extraSettings: func(int) string {
 		return "\n[capacity]\ncores = 1.6\nlink_mbps = 1000\n[log]\nlevel = \"info\"\n"
 	}}
 	f = startFleet(t, 0, f)
@@ -55,7 +55,7 @@
 	f.add(nodes)
 	known := func(count int) {
 		for _, n := range f.nodes {
-			f.eventually(fmt.Sprint(n.name, " knows ", count), func() bool { return f.taken(n) == count })
+			f.eventually(fmt.Sprint(n.name, " knows ", count), func() bool { return f.poolTargets(n) == count })
 		}
 	}
 	known(targets)
--- a/node/peers.go
+++ b/node/peers.go
@@ -308,7 +308,7 @@
 
 // sync compares this node with the one at the address, in the background, one at a time: records, and on
 // the whole members and reports too.
-func (p *peers) sync(address string, whole bool) {
+func (p *peers) sync(address string, full bool) {
 	now := p.node.clock.Now()
 	p.mu.Lock()
 	if p.syncing || now-p.syncedAt < syncMinGap {
@@ -316,8 +316,8 @@
 		return
 	}
 	p.syncing, p.syncedAt = true, now
-	whole = whole || !p.joined
-	elsewhere := p.sourceBusy && !whole
+	full = full || !p.joined
+	elsewhere := p.sourceBusy && !full
 	p.sourceBusy = false
 	p.mu.Unlock()
 	if elsewhere {
@@ -326,7 +326,7 @@
 		}
 	}
 	go func() {
-		ok := p.syncWith(address, whole)
+		ok := p.syncWith(address, full)
 		p.mu.Lock()
 		p.syncing = false
 		p.joined = p.joined || ok
@@ -334,18 +334,18 @@
 	}()
 }
 
-func (p *peers) syncWith(address string, whole bool) bool {
+func (p *peers) syncWith(address string, full bool) bool {
 	n := p.node
 	ctx, guard := stall.Watch(context.Background(), syncLimits)
 	defer guard.Close()
 	begun := n.clock.Now()
-	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !whole, Pulls: true, Packs: true, Services: n.services.needed()}
+	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !full, Pulls: true, Packs: true, Services: n.services.needed()}
 	for _, s := range req.Kinds {
 		if k := store.Kind(s.GetKind()); k != store.State {
 			s.Sums = n.records.sets[k].BucketSums()
 		}
 	}
-	if whole {
+	if full {
 		req.Members = n.members.All()
 		req.Known = hashes(req.Members)
 		req.Members = req.Members[:min(len(req.Members), maxMembersSent)] // the first is this node; others ask for the rest
@@ -362,7 +362,7 @@
 	}
 	n.duty.proof.ObserveLatest(begun, clock.Millis(res.Msg.GetStoreNow()))
 	n.quotas.known.see(int(res.Msg.GetKnown()), n.clock.Now())
-	records := p.takeParts(res.Msg, address)
+	records := p.mergeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
 		n.records.hear(r, address)
 	}
@@ -374,8 +374,8 @@
 	return true
 }
 
-// takeParts takes in the members and reports of an answer and of its packs, and returns the records of all.
-func (p *peers) takeParts(res *tlv1.SyncResponse, address string) (records []*tlv1.Records) {
+// mergeParts takes in the members and reports of an answer and of its packs, and returns the records of all.
+func (p *peers) mergeParts(res *tlv1.SyncResponse, address string) (records []*tlv1.Records) {
 	n := p.node
 	parts := []*tlv1.SyncResponse{res}
 	for _, x := range res.GetPacks() {
--- a/node/raw_own_test.go
+++ b/node/raw_own_test.go
@@ -28,7 +28,7 @@
 		sum := sha256.Sum256([]byte(s))
 		return sum[:]
 	}
-	f := startFleet(t, nodes, &fleet{operated: true, via: func(s string) string { return s }, more: func(int) string {
+	f := startFleet(t, nodes, &fleet{operated: true, via: func(s string) string { return s }, extraSettings: func(int) string {
 		return fmt.Sprintf("[operators]\nadmin_token_sha256 = %q\n", hex.EncodeToString(hash(adminToken)))
 	}})
 	target := f.target("i-1", "none")
--- a/node/records_test.go
+++ b/node/records_test.go
@@ -186,7 +186,7 @@
 	n := f.nodes[2]
 	n.stop()
 	<-n.node.Done()
-	n.log = &lines{}
+	n.log = &logBuffer{}
 	f.start(n)
 	f.eventually("it learns from the others", func() bool { return inForce(n, 3) })
 	is.Equal(f.call(n, http.MethodGet, "/get/", "x", "").status, http.StatusOK)
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -18,7 +18,7 @@
 	}
 	for _, nodes := range []int{30, 60, 120} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			f := &fleet{via: func(s string) string { return s }, more: func(i int) string {
+			f := &fleet{via: func(s string) string { return s }, extraSettings: func(i int) string {
 				cores := 0.16
 				if i < nodes/20 {
 					cores = 1.6
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -11,26 +11,26 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// wokenClock is a node's clock, which goes on by what its machine was suspended.
-type wokenClock struct {
+// resumedClock is a node's clock, which goes on by what its machine was suspended.
+type resumedClock struct {
 	clock.Clock
-	slept atomic.Int64
+	suspended atomic.Int64
 }
 
 // Now implements clock.Clock.
-func (c *wokenClock) Now() clock.Millis {
-	return c.Clock.Now() + clock.Millis(c.slept.Load())
+func (c *resumedClock) Now() clock.Millis {
+	return c.Clock.Now() + clock.Millis(c.suspended.Load())
 }
 
-// TestMachineThatWakesTrustsNothingOld suspends the machine of a node for six seconds, within which a key is taken away.
+// TestResumedMachineDistrustsOldProofs suspends the machine of a node for six seconds, within which a key is taken away.
 // The first request after waking comes before any word of the store: the node may not go by what it held for fresh before.
-func TestMachineThatWakesTrustsNothingOld(t *testing.T) {
+func TestResumedMachineDistrustsOldProofs(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"5s\"\n" })
 	n := f.nodes[0]
 	n.stop()
 	<-n.node.Done()
-	woken := &wokenClock{Clock: f.clock}
+	woken := &resumedClock{Clock: f.clock}
 	n.clock = woken
 	f.start(n)
 	target := f.target("i-1", "desk")
@@ -39,7 +39,7 @@
 	f.proved(shopKey)
 	n.door.SetFaults(standin.Faults{Away: standin.Reset})
 	f.keyed(4, workspaces[1:])
-	woken.slept.Add(int64(6 * clock.Second))
+	woken.suspended.Add(int64(6 * clock.Second))
 	for i := range 5 {
 		is.Equal(f.callWith(n, "/get/", fmt.Sprint("woken-", i), "Authorization", "Bearer "+shopKey).status, http.StatusServiceUnavailable)
 		is.Equal(ran(fmt.Sprint("woken-", i), target), 0)
--- a/node/watch.go
+++ b/node/watch.go
@@ -9,8 +9,8 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// namedInLine bounds the nodes that one line of the log names.
-const namedInLine = 8
+// maxNamesInLine bounds the nodes that one line of the log names.
+const maxNamesInLine = 8
 
 // logStart tells what this process is, and what it goes by.
 func (n *Node) logStart() {
@@ -57,7 +57,7 @@
 	w.known = now
 	for what, names := range changes {
 		w.node.log.WithFields(logrus.Fields{
-			"event": "member_" + what, "nodes": namesInLine(names), "count": len(names), "live": len(now), "version": v,
+			"event": "member_" + what, "nodes": joinNames(names), "count": len(names), "live": len(now), "version": v,
 		}).Info()
 	}
 }
@@ -73,9 +73,9 @@
 	return "alive"
 }
 
-func namesInLine(names []string) string {
-	if more := len(names) - namedInLine; more > 0 {
-		return fmt.Sprintf("%s,and_%d_more", strings.Join(names[:namedInLine], ","), more)
+func joinNames(names []string) string {
+	if more := len(names) - maxNamesInLine; more > 0 {
+		return fmt.Sprintf("%s,and_%d_more", strings.Join(names[:maxNamesInLine], ","), more)
 	}
 	return strings.Join(names, ",")
 }
--- a/node/wire.go
+++ b/node/wire.go
@@ -22,8 +22,8 @@
 	peerKeyContext = "tinladder peers' door"
 )
 
-// errForged says that a datagram was not signed by a peer.
-var errForged = errors.New("datagram is not signed by a peer")
+// errBadSignature says that a datagram was not signed by a peer.
+var errBadSignature = errors.New("datagram is not signed by a peer")
 
 // A keyring holds the keys that peers share. The first one signs; all are taken, so that a key
 // can be replaced without a gap. Without keys nothing is signed.
@@ -68,14 +68,14 @@
 		return b, nil
 	}
 	if len(b) < macSize {
-		return nil, errForged
+		return nil, errBadSignature
 	}
 	for _, key := range k.keys {
 		if hmac.Equal(mac(key, b[macSize:]), b[:macSize]) {
 			return b[macSize:], nil
 		}
 	}
-	return nil, errForged
+	return nil, errBadSignature
 }
 
 // peerKey proves this node at a peer's door.
