--- a/node/duty.go
+++ b/node/duty.go
@@ -18,71 +18,72 @@
 )
 
 const (
-	// longPoll is how long a watcher's question to the store waits for changes.
+	// longPoll is how long a watcher's call to the store waits for changes.
 	longPoll clock.Millis = 1300
-	// suspectsLongPoll is the same for requests under which targets crashed: nodes that hear each other tell each other at
-	// once, and the store would be asked half as often again.
+	// suspectsLongPoll is the same for requests under which targets crashed: nodes in contact send these to each other
+	// at once, and with longPoll the store would get half as many calls again.
 	suspectsLongPoll = 5 * longPoll
-	// minLongPoll is the wait of a question to which the answer is wanted at once.
+	// minLongPoll makes the store answer at once.
 	minLongPoll clock.Millis = 1
 	// confirmInterval is how often a watcher tells its hall what the store holds.
 	confirmInterval clock.Millis = 300
-	// repairInterval is how often each node compares itself with another by chance, and passNews how
-	// many it tells of news that it got from another node.
+	// repairInterval is how often each node sends its sums to a random node, and newsFanout to how many
+	// it forwards records that it got from another node.
 	repairInterval = 1 * clock.Second
 	newsFanout     = 2
-	// startDelayMin and patienceMore set how long a node that has just started waits for others.
+	// startDelayMin and startDelayJitter set how long a node that has just started waits for others.
 	startDelayMin    clock.Millis = 60
 	startDelayJitter clock.Millis = 120
-	// startDelayNodes is how many nodes there may be for that: a larger fleet waits longer by its size, so that as many ask.
+	// startDelayNodes is the fleet size up to which that holds. A larger fleet waits longer in proportion, so that the
+	// number of calls to the store stays about the same.
 	startDelayNodes = 50
-	// dutyCheckInterval is how often a node without the duty looks whether it should take it up while it may have to soon, and
-	// dutyRest how often otherwise: most nodes of a fleet never have it.
+	// dutyCheckInterval is how often a node off duty checks whether to take over while it may have to soon, and
+	// dutyCheckMax otherwise: most nodes of a fleet never watch.
 	dutyCheckInterval clock.Millis = 50
 	dutyCheckMax      clock.Millis = 250
-	// batchDelay is how long a change of targets waits for others to come with it.
+	// batchDelay is how long a change of targets waits for others to be read with it.
 	batchDelay clock.Millis = 150
-	// rereadAfter is how old the last word of the store must be for a node that was turned away to read the newest state
-	// alone. It may have missed several, and following them brings each of them over its link.
+	// rereadAfter is how old the last confirmation must be for a node that the store refused to read only the newest
+	// state. It may have missed several versions, and following them transfers each of them over its link.
 	rereadAfter clock.Millis = 400
-	// neverConfirmed stands for an age of what neverConfirmed was.
+	// neverConfirmed is the age of a kind that was never confirmed.
 	neverConfirmed = -1
 )
 
-// duty decides whether this node watches the store, and spreads what it sees there. A few nodes
-// watch; the others hear from them. A node that has heard nothing for long watches itself.
+// duty decides whether this node watches the store, and distributes what it reads there. A few nodes
+// watch and tell the others. A node that has heard nothing for too long watches itself.
 type duty struct {
 	node      *Node
 	hall      *watcher.Hall
 	startedAt clock.Millis
-	// waitsAtStart says that the settings name other nodes, and patience where chance has put this one among those that wait for
-	// others after their start, from 0 to 1.
+	// waitsAtStart is whether this node waits for others after its start, and startJitter (0 to 1) its random part of
+	// that delay.
 	waitsAtStart bool
 	startJitter  float64
 
 	mu sync.Mutex
-	// confirmedAt is when the store was last known to hold nothing newer of a kind, whoever asked it.
+	// confirmedAt is when the store was last known to hold nothing newer of a kind, whichever node asked.
 	confirmedAt map[store.Kind]clock.Millis
-	// queriedAt is when this node queriedAt for it itself.
+	// queriedAt is when the store last answered this node itself.
 	queriedAt map[store.Kind]clock.Millis
-	// proof is how long ago the store is proved to have held no newer state.
+	// proof is how recently the store is proved to have held no newer state.
 	proof access.Proof
-	// cursors are up to where this node holds all changes, from the store or by another's word.
+	// cursors are the positions up to which this node holds all changes, by its own reads or by a confirm.
 	cursors       map[store.Kind]store.Cursor
 	confirmSentAt clock.Millis
 	repairedAt    clock.Millis
-	// confirmPending says that the hall is to be told at the next tick.
+	// confirmPending is whether the hall is to be told at the next tick.
 	confirmPending bool
-	// weights are what the ready nodes of this hall can carry, as of a version of the members.
+	// weights are the capacities of this hall's ready nodes, at weightsVersion of the members.
 	weights        map[ident.Process]uint32
 	weightsVersion uint64
-	// cachedRank is this node's among them while none is turned away; -1 if it is not worked out.
+	// cachedRank is this node's rank among them while the store refuses none; -1 if not computed.
 	cachedRank int
-	// mayHaveMissed says that versions of the state may have passed this node by, since the store turned it away.
+	// mayHaveMissed is whether this node may have missed versions of the state, since a call to the store failed.
 	mayHaveMissed bool
-	// differences are between this node's records and others', by kind.
+	// differences are those between this node's records and other nodes', by kind.
 	differences map[store.Kind]difference
-	// rereadState says that the changes after the state that this node holds are not to be followed.
+	// rereadState is whether to read the state whole instead of following changes from the version held.
 	rereadState bool
 }
 
@@ -93,15 +94,15 @@
 	}
 }
 
-// age is how long ago the store was last known to hold nothing newer.
+// age returns how long ago the store was last known to hold nothing newer.
 func (d *duty) age(k store.Kind) clock.Millis {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.clock.Now() - max(d.confirmedAt[k], d.startedAt)
 }
 
-// rank is this node's place in its hall in the order in which nodes watch, from 0. It is worked out when members have
-// changed, or while the store turns some away: it is asked for twenty times a second for each kind.
+// rank returns this node's place in its hall in the order in which nodes watch, from 0. It is recomputed only when
+// members have changed or while the store refuses some: it is needed twenty times a second for each kind.
 func (d *duty) rank() int {
 	n := d.node
 	version := n.members.Version()
@@ -137,12 +138,12 @@
 	return place
 }
 
-// shouldQuery says whether this node should ask the store for the kind now, and counts the question if so.
+// shouldQuery reports whether this node should call the store for the kind now, and counts the call if so.
 func (d *duty) shouldQuery(k store.Kind) bool {
 	return !d.node.leaving.started() && d.due(k) && d.hall.AllowQuery()
 }
 
-// nextCheck is in how long a node without the duty looks again: what it knows has to grow old before it takes the duty up,
+// nextCheck returns the time until a node off duty checks again: its records have to become stale before it takes over,
 // unless it becomes the first to watch.
 func (d *duty) nextCheck(k store.Kind) clock.Millis {
 	if !d.hasRecords(k) || d.hall.Failing() || d.node.clock.Now()-d.startedAt <= watcher.StaleAfter {
@@ -151,40 +152,40 @@
 	return min(max(watcher.StaleAfter-d.effectiveAge(k), dutyCheckInterval), dutyCheckMax)
 }
 
-// due says whether word of the kind is due.
+// due reports whether this node should query the kind now.
 func (d *duty) due(k store.Kind) bool {
 	now := d.node.clock.Now()
 	if k == store.Suspects && d.hall.Failing() {
-		return false // whether the store answers again shows by the other kinds
+		return false // the other kinds show whether the store answers again
 	}
 	if !d.hasRecords(k) {
 		return now-d.startedAt >= d.startDelay()
 	}
 	q := watcher.Query{Age: d.effectiveAge(k), Rank: d.rank(), Primary: k == store.State}
 	if q.Rank == 0 && now-d.startedAt <= watcher.StaleAfter/2 {
-		q.Rank = 1 // one that has just started lets the others watch on
+		q.Rank = 1 // a node that has just started leaves the watch to the others
 	}
 	return d.hall.Due(q)
 }
 
-// hasRecords says whether anything of the kind was ever confirmed to this process, or told by another node. While many
-// records come at once no two nodes hold the same, and none can confirm another's; a fleet that starts would read
-// all of them from the store on each node.
+// hasRecords reports whether the kind was ever confirmed to this process, or any record of it received. While many
+// records arrive at once no two nodes hold the same and none can confirm another's; without the second condition
+// each node of a starting fleet would read all records from the store.
 func (d *duty) hasRecords(k store.Kind) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.confirmedAt[k] > 0 || d.node.records.sets[k].Newest() > 0
 }
 
-// waitsForOthers says whether a node that has just started waits for word from others before it asks the store itself: not
-// if others look for them at it.
+// waitsForOthers reports whether a node that has just started waits for others before it queries the store itself. A
+// node that is a seed does not: the others look for them at it.
 func waitsForOthers(n *Node) bool {
 	seeds := n.settings().Fleet.Seeds
 	return len(seeds) > 0 && !slices.Contains(seeds, n.settings().Node.PeersAddress())
 }
 
-// startDelay is how long this node waits for that: each for another time, and the longer the more nodes are known, so that a
-// fleet that starts at once does not ask as one.
+// startDelay returns how long this node waits for that: random, and longer the more nodes are known, so that a fleet
+// that starts at once does not query the store at once.
 func (d *duty) startDelay() clock.Millis {
 	if !d.waitsAtStart {
 		return 0
@@ -193,7 +194,7 @@
 	return startDelayMin + clock.Millis(d.startJitter*float64(startDelayJitter)*size)
 }
 
-// watch follows a kind of records for as long as this node has the duty.
+// watch follows a kind of records while this node is on duty.
 func (d *duty) watch(ctx context.Context, k store.Kind) {
 	for ctx.Err() == nil {
 		if !d.shouldQuery(k) {
@@ -201,7 +202,7 @@
 			continue
 		}
 		if d.hall.Failing() {
-			d.confirmToHall() // the hall hears that this node asks
+			d.confirmToHall() // tells the hall that this node queries the store
 		}
 		next, at, err := d.query(ctx, k, d.cursor(k))
 		switch {
@@ -220,7 +221,7 @@
 }
 
 // cursor returns up to where this node holds all changes of the kind; 0 if it must read all. The state is one
-// record, of which the newest version is all there is up to it.
+// record, whose newest version is a cursor too.
 func (d *duty) cursor(k store.Kind) store.Cursor {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -234,7 +235,7 @@
 	return m
 }
 
-// dropCursor has this node read all again, since what changed after its mark is not known, or takes longer to come.
+// dropCursor makes this node read all again: the changes after its cursor are unknown or take longer to transfer.
 func (d *duty) dropCursor(k store.Kind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,7 +243,7 @@
 	d.rereadState = d.rereadState || k == store.State
 }
 
-// maxLongPoll is how long a watcher's question for changes of the kind waits.
+// maxLongPoll returns how long a watcher's call for changes of the kind waits.
 func maxLongPoll(k store.Kind) clock.Millis {
 	if k == store.Suspects {
 		return suspectsLongPoll
@@ -250,8 +251,8 @@
 	return longPoll
 }
 
-// effectiveAge is the age of the last word of a kind, less what its watcher's questions wait longer than others'. A node that
-// hears nobody has no watcher but itself.
+// effectiveAge is the age of the last confirmation of a kind, less what its long poll exceeds that of other kinds. A
+// node in contact with nobody has no watcher but itself.
 func (d *duty) effectiveAge(k store.Kind) clock.Millis {
 	if len(d.node.members.Live()) == 0 {
 		return d.age(k)
@@ -259,14 +260,14 @@
 	return d.age(k) - (maxLongPoll(k) - longPoll)
 }
 
-// longPollTime is how long a question for changes waits: no longer than until word of the store is overdue, so that the others
-// do not take up the duty as well, and this node does not take itself for one that is behind.
+// longPollTime returns how long a call for changes waits: no longer than until the kind's confirmation is stale, so that
+// other nodes do not start to watch as well, and this node does not count as lagging.
 func (d *duty) longPollTime(k store.Kind) clock.Millis {
 	return max(maxLongPoll(k)-d.age(k), minLongPoll)
 }
 
-// query reads all records of the kind if there is no mark, or follows it, and spreads what is new. It returns up to
-// where this node holds all changes now, and when that was so: a large answer is old when its end has come.
+// query reads all records of the kind if the cursor is 0, or else the changes after it, and distributes what is new. It
+// returns the new cursor and the time for which it is valid: a large response is old once it has arrived.
 func (d *duty) query(ctx context.Context, k store.Kind, m store.Cursor) (next store.Cursor, at clock.Millis, err error) {
 	n := d.node
 	var r store.Reply
@@ -309,22 +310,22 @@
 	return r.Cursor, at, nil
 }
 
-// withKinds returns the kinds that came with an answer, in order.
+// withKinds returns the further kinds in a response, in order.
 func withKinds(r store.Reply) []store.Kind {
 	return slices.Sorted(maps.Keys(r.With))
 }
 
-// spreadNews spreads records that came with others.
+// spreadNews distributes records of further kinds.
 func (d *duty) spreadNews(k store.Kind, news []replica.Record) {
 	if len(news) > 0 {
 		d.spread(k, news)
 	}
 }
 
-// slowRead is how long an answer of the store takes that is told of in the log.
+// slowRead is the duration from which a read of the store is logged.
 const slowRead clock.Millis = 250
 
-// logSlowRead tells of an answer that took long to come, other than by waiting for changes.
+// logSlowRead logs a slow read, other than one that waited for changes.
 func (d *duty) logSlowRead(k store.Kind, m store.Cursor, r store.Reply, took clock.Millis, err error) {
 	if took < slowRead || err != nil || m > 0 && len(r.Records) == 0 {
 		return
@@ -334,7 +335,7 @@
 	}).Info()
 }
 
-// readNow reads the kind from the store at once, since something was just written there.
+// readNow reads the kind from the store in the background, after a write.
 func (d *duty) readNow(k store.Kind) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), lookTimeout.Duration())
@@ -345,10 +346,10 @@
 	}()
 }
 
-// lookTimeout bounds a look at the store.
+// lookTimeout bounds readNow.
 const lookTimeout = 2 * clock.Second
 
-// querySucceeded notes that the store querySucceeded this node, up to where that has all changes, and when that was so.
+// querySucceeded records that the store answered this node: the cursor, and the time for which it is valid.
 func (d *duty) querySucceeded(k store.Kind, m store.Cursor, at clock.Millis) {
 	d.mu.Lock()
 	d.cursors[k] = max(d.cursors[k], m)
@@ -365,7 +366,7 @@
 	}
 }
 
-// queryFailed notes that the store did not answer this node.
+// queryFailed records that the store did not answer this node.
 func (d *duty) queryFailed(k store.Kind, err error) {
 	wait, first := d.hall.QueryFailed()
 	d.mu.Lock()
