--- a/node/confirm.go
+++ b/node/confirm.go
@@ -11,12 +11,12 @@
 	"github.com/tinladder/tinladder/watcher"
 )
 
-// sameHallPicks is how many of so many words and comparisons by chance stay in the hall: bytes between halls cost the
+// Of so many random picks of nodes, sameHallPicks out of picks are from this hall: traffic between halls costs the
 // most.
 const sameHallPicks, picks = 3, 4
 
-// tick tells the hall now and then what the store holds, for as long as this node watches, and a node of each
-// other hall, which may have nobody that the store answers.
+// tick sends the hall what the store holds at each confirmInterval while this node watches, and also one node of
+// each other hall, where the store may answer nobody.
 func (d *duty) tick() {
 	speaks := d.sendsConfirms()
 	d.mu.Lock()
@@ -41,8 +41,8 @@
 	}
 }
 
-// sendsConfirms says whether this node tells its hall of the store: the first to watch does, or whoever asks while the hall hears
-// nobody. Each that has asked of late would send as many words as there are pairs of nodes.
+// sendsConfirms reports whether this node sends confirms to its hall: the first to watch does, or any that queries while
+// the hall hears nobody. If each node that queried recently did, messages would grow with the pairs of nodes.
 func (d *duty) sendsConfirms() bool {
 	return !d.hall.HeardWithin(confirmInterval) || d.rank() == 0
 }
@@ -55,7 +55,7 @@
 	d.sendConfirm(d.hallPeers())
 }
 
-// confirmSoon does the same, once for all that is sent within a tick.
+// confirmSoon does the same, at most once within a tick.
 func (d *duty) confirmSoon() {
 	d.mu.Lock()
 	now := d.node.clock.Now()
@@ -67,13 +67,13 @@
 	}
 }
 
-// hallPeers returns where the other nodes of this hall hear datagrams.
+// hallPeers returns the gossip addresses of the other nodes of this hall.
 func (d *duty) hallPeers() []string {
 	n := d.node
 	return gossipAddresses(n.members.Live(), func(m *tlv1.Member) bool { return hallOf(m) == n.hall() })
 }
 
-// byHall returns the nodes of each other hall.
+// byHall returns the ready nodes of each other hall.
 func (d *duty) byHall() map[ident.Hall][]*tlv1.Member {
 	list := map[ident.Hall][]*tlv1.Member{}
 	for _, m := range d.node.members.Live() {
@@ -84,7 +84,7 @@
 	return list
 }
 
-// onePerHall returns where one node of each other hall, by chance, hears datagrams.
+// onePerHall returns the gossip address of one random node of each other hall.
 func (d *duty) onePerHall() []string {
 	var list []string
 	for _, members := range d.byHall() {
@@ -93,8 +93,8 @@
 	return list
 }
 
-// relays returns where the nodes hear datagrams that tell their halls what other halls know: the first of each
-// hall's watchers, and one by chance, since the first may have ended just now.
+// relays returns the gossip addresses of the nodes that pass on to their halls what other halls know: each hall's
+// first watcher, and a random node, since the first may have just ended.
 func (d *duty) relays() []string {
 	list := d.onePerHall()
 	for _, members := range d.byHall() {
@@ -112,14 +112,13 @@
 	return list
 }
 
-// confirmToRandom tells a few nodes by chance what this one holds, so that news goes on where a watcher's word
-// was lost.
+// confirmToRandom tells a few random nodes what this one holds, to repair the loss of a watcher's datagram.
 func (d *duty) confirmToRandom(count int) {
 	live := d.node.randomNodes()
 	d.sendConfirm(gossipAddresses(live[:min(count, len(live))], func(*tlv1.Member) bool { return true }))
 }
 
-// randomNodes returns other nodes by chance: those of this hall, or now and then of all.
+// randomNodes returns the other nodes of this hall, or in some calls of all halls, in random order.
 func (n *Node) randomNodes() []*tlv1.Member {
 	near := rand.IntN(picks) < sameHallPicks
 	live := slices.DeleteFunc(slices.Clone(n.members.Live()), func(m *tlv1.Member) bool { return near && hallOf(m) != n.hall() })
@@ -135,19 +134,19 @@
 	}}}, addresses...)
 }
 
-// kindSums says what this node holds of each kind that it follows.
+// kindSums returns what this node holds of each kind.
 func (d *duty) kindSums() []*tlv1.KindSum {
 	var list []*tlv1.KindSum
 	for _, k := range d.node.kinds() {
 		s := &tlv1.KindSum{Kind: string(k), AgeMs: neverConfirmed}
 		d.mu.Lock()
-		s.Mark = uint64(d.cursors[k]) // before the sum: what comes in between is no part of a later mark
+		s.Mark = uint64(d.cursors[k]) // read before the sum: the cursor must not cover records that come in between
 		if at := d.confirmedAt[k]; at > 0 {
 			s.AgeMs = int64(d.node.clock.Now() - at)
 		}
 		d.mu.Unlock()
 		if k == store.State {
-			s.Proved = int64(d.proof.Proved()) // before the sum, too
+			s.Proved = int64(d.proof.Proved()) // read before the sum, too
 		}
 		set := d.node.records.sets[k]
 		s.Sum, s.Newest = set.State()
@@ -157,7 +156,7 @@
 	return list
 }
 
-// receiveConfirm takes in another node's word on the store.
+// receiveConfirm merges another node's confirm.
 func (d *duty) receiveConfirm(c *tlv1.Confirm) {
 	p := ident.Process{Node: ident.Node(c.GetNode()), Incarnation: ident.Incarnation(c.GetIncarnation())}
 	if p.Node == d.node.self.Node {
@@ -167,14 +166,14 @@
 	if !far {
 		d.hall.Heard(p, c.GetDeaf())
 	}
-	// The first state comes by a comparison, with the targets: requests wait for it, and would find none.
+	// The first state comes by a sync, together with the targets: requests wait for it, and would find none.
 	if d.node.records.table.Load() == nil || !d.mergeKindSums(c.GetKinds(), c.GetPeerAddress(), far) {
 		d.node.peers.sync(d.syncSource(c.GetPeerAddress(), far), false)
 	}
 }
 
-// syncSource returns the node to ask for what the one at the address holds and this one lacks. A node that has nothing yet asks
-// those of its own hall that carry much: what crosses halls costs the most, and they hear of it first.
+// syncSource returns the node to request what this one lacks and the one at the address holds. A node that has nothing
+// yet asks one of its own hall with high capacity: those hear of it first, and traffic between halls costs the most.
 func (d *duty) syncSource(address string, far bool) string {
 	n := d.node
 	if !far || n.records.sets[store.Targets].Len() > 0 || n.hasHighCapacity(n.members.Self()) {
@@ -186,19 +185,19 @@
 	return address
 }
 
-// mismatchDelay is how long the records of another node must differ from this one's to be compared: records come by datagram,
-// and what was sent before a word of sums may come after it.
+// mismatchDelay is how long another node's records must differ from this one's before a sync: records come by
+// datagram, and those sent before a confirm may arrive after it.
 const mismatchDelay clock.Millis = 200
 
-// A difference is one between this node's records of a kind and what others said that they hold.
+// A difference is a mismatch between this node's records of a kind and the sums of other nodes.
 type difference struct {
 	since clock.Millis
-	// newest is the newest record that any of them said to hold.
+	// newest is the newest record that any of them holds.
 	newest uint64
 }
 
-// noteMismatch takes in that another node's records differ, and says whether it is time to compare: at once while this one has just
-// started, and else if they have differed for long.
+// noteMismatch records that another node's records differ, and reports whether to sync now: at once while this node has
+// just started, else after mismatchDelay.
 func (d *duty) noteMismatch(k store.Kind, newest uint64) bool {
 	now := d.node.clock.Now()
 	d.mu.Lock()
@@ -212,7 +211,7 @@
 	return now-x.since >= mismatchDelay || now-d.startedAt <= watcher.StaleAfter
 }
 
-// noteMatch takes in that another node holds the same records. One that lacks as much settles nothing.
+// noteMatch records that another node holds the same records. One that lacks the same records proves nothing.
 func (d *duty) noteMatch(k store.Kind, newest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -221,9 +220,9 @@
 	}
 }
 
-// mergeKindSums takes in how long ago the store held what the node at the address holds. It returns false if this
-// one should compare its records with that. A newer state is asked for; an older one is nothing to ask for, and
-// neither are older records of another hall.
+// mergeKindSums merges the confirmations of the node at the address, for kinds of which both hold the same. It returns
+// false if this node should sync with it. A newer state is pulled; an older state, and older records of another hall,
+// need nothing.
 func (d *duty) mergeKindSums(kinds []*tlv1.KindSum, address string, far bool) bool {
 	same := true
 	now := d.node.clock.Now()
