--- a/node/peers.go
+++ b/node/peers.go
@@ -23,31 +23,31 @@
 )
 
 const (
-	// heldTimeout bounds a question for the version of a document that another node uses.
+	// heldTimeout bounds a call for the version of a document that another node uses.
 	heldTimeout clock.Millis = 400
-	// syncMinGap is the least time between two comparisons that a difference asks for.
+	// syncMinGap is the minimum time between two syncs.
 	syncMinGap clock.Millis = 50
-	// fullSyncInterval is how often a node compares itself with another without a reason.
+	// fullSyncInterval is how often a node syncs with a random one, even if no difference is known.
 	fullSyncInterval = 15 * clock.Second
-	// startupSyncInterval is how often it does so for startFor from its start: those that it asked first may have started with
-	// it, and know as few.
+	// startupSyncInterval is how often it does so during its startupPeriod: the nodes that it asked first may have
+	// started with it, and know as little.
 	startupSyncInterval clock.Millis = 200
 	startupPeriod       clock.Millis = 1500
-	// startupSyncMembers is how many members such a comparison brings in startMerges: more take longer, since each of as many nodes
-	// brings all of them.
+	// startupSyncMembers is how many members such a sync transfers within startupSyncInterval. With more of them the
+	// interval grows in proportion, since each of as many nodes transfers all of them.
 	startupSyncMembers = 100
-	// maxMembersSent is how many members a node tells the one that it compares itself with.
+	// maxMembersSent is how many members a node sends in the request of a sync.
 	maxMembersSent = 64
-	// joinFor is how long a node that knows nobody asks all its seeds at once, again and again.
+	// joinFor is how long a node that knows no other keeps asking all its seeds at once.
 	joinFor = 2 * clock.Second
-	// peerIdleTimeout is how long connections to other nodes are kept.
+	// peerIdleTimeout closes idle connections to other nodes.
 	peerIdleTimeout = 5 * time.Second
 )
 
-// syncLimits bounds a comparison with another node. An answer that keeps coming is not given up.
+// syncLimits bounds a sync with another node. A response that keeps making progress is not given up before Total.
 var syncLimits = stall.Limits{FirstByte: 400 * time.Millisecond, Idle: 400 * time.Millisecond, Total: 4 * time.Second}
 
-// peers compares this node with others: members, and records.
+// peers syncs this node with others: members and records.
 type peers struct {
 	node *Node
 	http *http.Client
@@ -57,7 +57,7 @@
 	syncedAt   clock.Millis
 	fullSyncAt clock.Millis
 	joined     bool
-	// sourceBusy says that the node that was compared with last had no room to give what this one lacks.
+	// sourceBusy is whether the node of the last sync had no capacity to send what this one lacks.
 	sourceBusy bool
 }
 
@@ -69,7 +69,7 @@
 	return &peers{node: n, http: c, fullSyncAt: n.clock.Now()}
 }
 
-// A peerTransport proves this node to peers.
+// A peerTransport authenticates this node to peers.
 type peerTransport struct {
 	base http.RoundTripper
 	keys *keyring
@@ -86,10 +86,10 @@
 	return res, err
 }
 
-// guardKey is the key under which a call's context holds its guard.
+// guardKey is the context key of a call's guard.
 type guardKey struct{}
 
-// withGuard returns a context for a call to another node whose answer the guard watches.
+// withGuard returns a context for a call to another node whose response the guard watches.
 func withGuard(ctx context.Context, g *stall.Guard) context.Context {
 	return context.WithValue(ctx, guardKey{}, g)
 }
@@ -97,7 +97,7 @@
 // peersHandler serves other nodes only.
 func (n *Node) peersHandler() http.Handler {
 	m := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	path, h := tinladderv1connect.NewFleetServiceHandler(n.peers, connect.WithCompressMinBytes(math.MaxInt32)) // what is large is packed
+	path, h := tinladderv1connect.NewFleetServiceHandler(n.peers, connect.WithCompressMinBytes(math.MaxInt32)) // large responses are compressed as packs
 	m.PathPrefix(path).Handler(h)
 	m.PathPrefix("/").HandlerFunc(n.serveForPeer)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -109,8 +109,8 @@
 	})
 }
 
-// Sync implements the service that other nodes call. The desired state, evacuations and members go to all that ask; other
-// records and reports, which are many, to as many as this node has room for.
+// Sync implements FleetService. The desired state, evacuations and members are sent to all that ask; other records and
+// reports, which are many, as far as this node has capacity for them.
 func (p *peers) Sync(_ context.Context, req *connect.Request[tlv1.SyncRequest]) (*connect.Response[tlv1.SyncResponse], error) {
 	n := p.node
 	n.members.Merge(req.Msg.GetMembers())
@@ -140,8 +140,8 @@
 	return connect.NewResponse(res), nil
 }
 
-// addBulk adds reports, and records of the kinds of which there are many, as far as this node has room for them: to the
-// rest, or whole sets as packs.
+// addBulk adds reports, and records of the kinds with many of them, as far as this node has capacity: to rest, or
+// whole sets as packs to res.
 func (p *peers) addBulk(req *tlv1.SyncRequest, rest, res *tlv1.SyncResponse) (given bool) {
 	n := p.node
 	if !req.GetRecordsOnly() {
@@ -169,7 +169,7 @@
 	return given
 }
 
-// addDiff adds the records of the parts of a set that differ to the rest of an answer, if this node has room for that.
+// addDiff adds the records of the buckets that differ to rest, if this node has capacity for that.
 func (p *peers) addDiff(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
 	n := p.node
 	return n.compares.give(func() (made, sent int) {
@@ -180,8 +180,8 @@
 	})
 }
 
-// buildPack returns many records as they are sent to a node that lacks them; nil if this node has no room for that. One that
-// carries little leaves it to those of its hall that carry the most.
+// buildPack returns a pack of many records; nil if this node has no capacity for that. A node of low capacity leaves
+// this to those of its hall with high capacity.
 func (p *peers) buildPack(key packKey) (given *tlv1.Pack) {
 	n := p.node
 	if !n.hasHighCapacity(n.members.Self()) {
@@ -203,10 +203,10 @@
 	return given
 }
 
-// minCompressBytes is how many bytes an answer must have to be compressed.
+// minCompressBytes is the size from which a response is compressed.
 const minCompressBytes = 1 << 10
 
-// addCompressed adds the rest of an answer to it, compressed if that is worth it.
+// addCompressed adds rest to res, compressed if it is large enough.
 func (p *peers) addCompressed(rest, res *tlv1.SyncResponse) {
 	if proto.Size(rest) >= minCompressBytes {
 		answer, _, err := packed(rest)
@@ -219,7 +219,7 @@
 	res.Members, res.Reports, res.Records = rest.Members, rest.Reports, append(res.Records, rest.Records...)
 }
 
-// hasHighCapacity says whether the member carries at least half of what the one of its hall does that carries the most.
+// hasHighCapacity reports whether the member has at least half the capacity of the largest one of its hall.
 func (n *Node) hasHighCapacity(m *tlv1.Member) bool {
 	most := n.members.Self().GetWeight()
 	for _, o := range n.members.Live() {
@@ -230,7 +230,7 @@
 	return 2*m.GetWeight() >= most
 }
 
-// highCapacityNode returns a node of this hall by chance that carries much; nil if there is none.
+// highCapacityNode returns a random node of this hall with high capacity; nil if there is none.
 func (n *Node) highCapacityNode() *tlv1.Member {
 	var most uint32
 	var strong []*tlv1.Member
@@ -250,14 +250,14 @@
 	return strong[rand.IntN(len(strong))]
 }
 
-// differs says whether this node holds other records of a kind than the one that asks.
+// differs reports whether this node holds other records of a kind than the node that asks.
 func (p *peers) differs(theirs *tlv1.KindSum) bool {
 	set := p.node.records.sets[store.Kind(theirs.GetKind())]
 	return set != nil && set.Sum() != theirs.GetSum()
 }
 
-// sendsState says whether the state goes with a comparison: to a node that holds an older one, if it is small
-// or the node cannot ask for it.
+// sendsState reports whether the state is part of a sync: for a node that holds an older one, if it is small
+// or the node cannot pull it.
 func (p *peers) sendsState(theirs *tlv1.KindSum, pulls bool) bool {
 	r := p.node.records
 	if theirs.GetNewest() >= r.sets[store.State].Newest() {
@@ -266,7 +266,7 @@
 	return !pulls || r.stateSize() <= wholeRecord
 }
 
-// syncOnFirstContact compares this node with the first other one that it hears from.
+// syncOnFirstContact syncs this node with the first other one that it hears from.
 func (p *peers) syncOnFirstContact(m *tlv1.Member) {
 	p.mu.Lock()
 	joined := p.joined
@@ -276,7 +276,7 @@
 	}
 }
 
-// isAlone says whether this node has met no other one, though its settings name some.
+// isAlone reports whether this node has had no sync with another, though its settings name other seeds.
 func (p *peers) isAlone() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -284,7 +284,7 @@
 	return !p.joined && slices.ContainsFunc(p.node.settings().Fleet.Seeds, func(a string) bool { return a != self })
 }
 
-// tick looks for others until there are any, and then compares this node with one now and then.
+// tick joins the fleet until there are other nodes, and then syncs with a random one at intervals.
 func (p *peers) tick() {
 	now := p.node.clock.Now()
 	p.mu.Lock()
@@ -306,8 +306,8 @@
 	}
 }
 
-// sync compares this node with the one at the address, in the background, one at a time: records, and on
-// the whole members and reports too.
+// sync syncs this node with the one at the address, in the background, one at a time: records, and if full
+// also members and reports.
 func (p *peers) sync(address string, full bool) {
 	now := p.node.clock.Now()
 	p.mu.Lock()
@@ -348,7 +348,7 @@
 	if full {
 		req.Members = n.members.All()
 		req.Known = hashes(req.Members)
-		req.Members = req.Members[:min(len(req.Members), maxMembersSent)] // the first is this node; others ask for the rest
+		req.Members = req.Members[:min(len(req.Members), maxMembersSent)] // the first is this node; the peer asks others for the rest
 	}
 	c := tinladderv1connect.NewFleetServiceClient(p.http, "http://"+address)
 	res, err := c.Sync(withGuard(ctx, guard), connect.NewRequest(req))
@@ -374,7 +374,7 @@
 	return true
 }
 
-// mergeParts takes in the members and reports of an answer and of its packs, and returns the records of all.
+// mergeParts merges the members and reports of a response and of its packs, and returns the records of all.
 func (p *peers) mergeParts(res *tlv1.SyncResponse, address string) (records []*tlv1.Records) {
 	n := p.node
 	parts := []*tlv1.SyncResponse{res}
@@ -399,7 +399,7 @@
 }
 
 // inOrder puts a first state behind the records that came with it: requests wait for it, and would find no targets. A
-// newer state comes first, as it was sent.
+// newer state stays first.
 func (p *peers) inOrder(list []*tlv1.Records) []*tlv1.Records {
 	if p.node.records.table.Load() == nil {
 		slices.SortStableFunc(list, func(a, b *tlv1.Records) int {
@@ -409,7 +409,7 @@
 	return list
 }
 
-// stateLast is the place of records of a kind: those of the state have the last.
+// stateLast is the sort key of records of a kind: those of the state are last.
 func stateLast(r *tlv1.Records) int {
 	if store.Kind(r.GetKind()) == store.State {
 		return 1
@@ -429,7 +429,7 @@
 	return &tlv1.InForce{Node: m.GetNode(), Version: res.Msg.GetVersion(), Reached: true}
 }
 
-// Held implements the service that other nodes call.
+// Held implements FleetService.
 func (p *peers) Held(_ context.Context, req *connect.Request[tlv1.HeldRequest]) (*connect.Response[tlv1.HeldResponse], error) {
 	v := p.node.held(ident.Key(req.Msg.GetKey())).GetVersion()
 	return connect.NewResponse(&tlv1.HeldResponse{Version: v}), nil
