--- a/node/wire.go
+++ b/node/wire.go
@@ -16,17 +16,17 @@
 
 const (
 	macSize = 16
-	// maxDatagram is the largest datagram taken. Those sent are far smaller.
+	// maxDatagram is the largest datagram accepted. Those sent are far smaller.
 	maxDatagram = 8 << 10
-	// peerKeyContext keeps the proof for the peers' door apart from datagrams' signatures.
+	// peerKeyContext separates the key for peers' HTTP requests from the signatures of datagrams.
 	peerKeyContext = "tinladder peers' door"
 )
 
-// errBadSignature says that a datagram was not signed by a peer.
+// errBadSignature is returned for a datagram that no peer signed.
 var errBadSignature = errors.New("datagram is not signed by a peer")
 
-// A keyring holds the keys that peers share. The first one signs; all are taken, so that a key
-// can be replaced without a gap. Without keys nothing is signed.
+// A keyring holds the keys that peers share. The first one signs; all are accepted, so that a key
+// can be replaced without interruption. Without keys nothing is signed.
 type keyring struct {
 	keys     [][]byte
 	peerKeys []string
@@ -78,7 +78,7 @@
 	return nil, errBadSignature
 }
 
-// peerKey proves this node at a peer's door.
+// peerKey authenticates this node in HTTP requests to a peer.
 func (k *keyring) peerKey() string {
 	if len(k.peerKeys) == 0 {
 		return ""
@@ -115,7 +115,7 @@
 	return &wire{conn: c, keys: keys, sent: sent}, nil
 }
 
-// send is best effort, as datagrams are.
+// send sends a datagram, best effort.
 func (w *wire) send(p *tlv1.Parcel, addresses ...string) {
 	if len(addresses) == 0 {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-// receive returns the next datagram of a peer, or an error once the wire is closed.
+// receive returns the next datagram signed by a peer, or an error once the connection is closed.
 func (w *wire) receive(buf []byte) (*tlv1.Parcel, error) {
 	for {
 		n, _, err := w.conn.ReadFromUDPAddrPort(buf)
@@ -151,7 +151,7 @@
 	}
 }
 
-// receive takes in datagrams until the wire is closed or the part is stopped.
+// receive handles datagrams until the connection is closed or the context ends.
 func (n *Node) receive(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = n.wire.conn.Close() })
 	defer stop()
@@ -188,7 +188,7 @@
 	}
 }
 
-// gossipAddresses returns where the members hear datagrams, without those that keep rejects.
+// gossipAddresses returns the gossip addresses of the members that keep accepts.
 func gossipAddresses(members []*tlv1.Member, keep func(m *tlv1.Member) bool) []string {
 	var list []string
 	for _, m := range members {
