--- a/node/node.go
+++ b/node/node.go
@@ -1,4 +1,4 @@
-// Package node is the daemon: it joins the libraries to the network, the store and the clock.
+// Package node is the daemon: it connects the libraries with the network, the store and the clock.
 package node
 
 import (
@@ -25,39 +25,38 @@
 )
 
 const (
-	// tickInterval is the pace of what is not driven by events.
+	// tickInterval is the interval of periodic work.
 	tickInterval clock.Millis = 100
-	// eventsInterval is how often the log of events looks whether to save.
+	// eventsInterval is how often the event log checks whether to save.
 	eventsInterval = 2 * clock.Second
-	// purgeInterval is how often idle connections are looked through.
+	// purgeInterval is how often expired idle connections are closed.
 	purgeInterval = 1 * clock.Second
-	// dialTimeout bounds a new connection to a target: far above the way between halls, and low
+	// dialTimeout bounds a new connection to a target: far above the latency between halls, and low
 	// enough to try another target.
 	dialTimeout clock.Millis = 120
-	// slotsPerCore and slotsPerMbps are how many targets' slots a node can carry: a slot has about
-	// four requests a second, of about 1 ms of processor time and 10 KB both ways.
+	// slotsPerCore and slotsPerMbps are how many targets' slots a node can serve: a slot gets about
+	// four requests a second, each of about 1 ms of processor time and 10 KB in both directions.
 	slotsPerCore = 200
 	slotsPerMbps = 2.8
 )
 
-// callersDoor is the name of the door that callers come to, and peersDoor of that for other nodes.
+// callersDoor is the name of the listener for callers, and peersDoor of that for other nodes.
 const (
 	callersDoor = "callers"
 	peersDoor   = "peers"
 )
 
-// memberTiming finds a dead node in about a second and a half, and passes it over in the
-// directory's answers after half of that.
+// memberTiming detects a dead node in about 1.5 s; the directory leaves it out of its answers after half of that.
 var memberTiming = member.Timing{
 	ProbeInterval: 400, RelayAfter: 150, SuspectAfter: 400, GoneAfter: 1500, IsolatedAfter: 2500,
 }
 
-// A Platform struct is what the node has of the platform.
+// A Platform struct holds the platform's services that the node uses.
 type Platform struct {
-	// Source makes what records are read from. It calls refused for all that it reads and cannot use.
+	// Source returns the source of records. It calls refused for each record that it reads and cannot use.
 	Source func(refused func(store.Refusal)) store.Source
 	Table  store.Table
-	// Suspects is where requests are kept under which targets crashed.
+	// Suspects stores the requests under which targets crashed.
 	Suspects store.Table
 	Objects  store.Objects
 	Protocol Protocol
@@ -105,8 +104,8 @@
 	done  chan struct{}
 }
 
-// New returns a node that listens at its addresses, and serves nobody yet. It reads the settings
-// again from the path when they change.
+// New returns a node that listens at its addresses but does not serve yet. It reloads the settings
+// from the path when they change.
 func New(s *settings.Settings, path string, p Platform, c clock.Clock, log *logs.Log) (n *Node, err error) {
 	defer func() { err = errors.Wrap(err, "new node") }()
 	n = &Node{
@@ -128,7 +127,7 @@
 	return n, n.listen()
 }
 
-// build makes the parts that need each other.
+// build creates the components that refer to each other.
 func (n *Node) build() {
 	s := n.settings()
 	self := &tlv1.Member{
@@ -160,7 +159,7 @@
 	n.metrics.gauges(n)
 }
 
-// weightOf returns how many targets' slots the node can carry.
+// weightOf returns how many targets' slots the node can serve.
 func weightOf(c settings.Capacity) uint32 {
 	return uint32(max(min(c.Cores*slotsPerCore, c.LinkMbps*slotsPerMbps), 1))
 }
@@ -221,7 +220,7 @@
 	return n.openDoors()
 }
 
-// Run serves until the context ends, then leaves without cutting a request.
+// Run serves until the context ends, then leaves the fleet without cutting a request.
 func (n *Node) Run(ctx context.Context) (err error) {
 	defer close(n.done)
 	failed := make(chan error, len(n.doors))
@@ -239,7 +238,7 @@
 	case err = <-failed:
 		n.log.WithFields(logrus.Fields{"event": "door_failed", "error": err}).Error()
 	}
-	n.leaving.run() // after a door that failed too: what the others have is not cut
+	n.leaving.run() // also after a listener failed: requests at the other listeners are not cut
 	n.close()
 	flush, stop := context.WithTimeout(background, n.leaving.left())
 	n.events.flush(flush)
@@ -258,7 +257,7 @@
 	return n.done
 }
 
-// Close ends the node at once, without a word to anybody. Requests in flight are cut.
+// Close stops the node at once, without telling other nodes. Requests in flight are cut.
 func (n *Node) Close() {
 	n.close()
 }
@@ -280,13 +279,13 @@
 	return tasks
 }
 
-// kinds are the kinds of records that the node holds.
+// kinds returns the kinds of records that the node holds.
 func (n *Node) kinds() []store.Kind {
 	return append(n.watched(), store.Evacuations)
 }
 
-// watched are the kinds of records that the node follows; others come with one of them. Documents are followed where
-// operators can write them.
+// watched returns the kinds of records that the node follows; further kinds come with one of these. Documents are
+// followed where operators can write them.
 func (n *Node) watched() []store.Kind {
 	kinds := []store.Kind{store.State, store.Targets, store.Suspects}
 	if n.settings().Node.Operators != "" {
@@ -295,7 +294,7 @@
 	return kinds
 }
 
-// tick moves on what is not driven by events.
+// tick runs the periodic work.
 func (n *Node) tick(context.Context) {
 	n.sendGossip(n.members.Tick())
 	n.peers.tick()
