--- a/node/speech.go
+++ b/node/speech.go
@@ -8,27 +8,27 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A Protocol struct is how the platform's callers, targets and checks speak: the names of their
-// headers and paths, and the form of their messages.
+// A Protocol struct is the platform's protocol with callers, targets and checks: the names of headers and paths, and
+// the formats of messages.
 type Protocol struct {
 	Headers     forward.Headers
 	ReadyPath   string
 	ResolvePath string
-	// ParseQuery reads a caller's question, and WriteAddresses answers it.
+	// ParseQuery parses a caller's lookup, and WriteAddresses writes the response.
 	ParseQuery     func(r *http.Request) ResolveQuery
 	WriteAddresses func(w http.ResponseWriter, addresses []string, valid clock.Millis)
 }
 
-// A ResolveQuery struct is what a caller asks of the directory: where to go for a host.
+// A ResolveQuery struct is a caller's lookup in the directory: the addresses for a host.
 type ResolveQuery struct {
 	Host   string
 	Region string
 	Hall   ident.Hall
 }
 
-// Headers of the fleet's own interface, towards callers and targets.
+// Headers of the fleet's own protocol with callers and targets.
 const (
-	// HeaderOutcome is on every answer that a node makes itself, and on no other.
+	// HeaderOutcome is on every response that a node generates itself, and on no other.
 	HeaderOutcome = "Tinladder-Outcome"
 	// HeaderRetryAfterMs is Retry-After in milliseconds.
 	HeaderRetryAfterMs = "Tinladder-Retry-After-Ms"
@@ -38,34 +38,34 @@
 	HeaderToken = "Tinladder-Token"
 	// HeaderService names the service that a request is for.
 	HeaderService = "Tinladder-Service"
-	// HeaderDeadline is how many milliseconds an answer is still of use.
+	// HeaderDeadline is the time in milliseconds after which a response is of no use.
 	HeaderDeadline = "Tinladder-Deadline-Ms"
-	// HeaderReplay is on answers that were kept from the one time that a request ran.
+	// HeaderReplay is on responses that were stored when the request ran.
 	HeaderReplay = "Tinladder-Replay"
-	// HeaderLeaving is on answers of targets that are leaving. It is not passed on.
+	// HeaderLeaving is on responses of targets that are leaving. It is not forwarded.
 	HeaderLeaving = "Tinladder-Leaving"
-	// HeaderNotRun is on answers of targets that did not run the request.
+	// HeaderNotRun is on responses of targets that did not run the request.
 	HeaderNotRun = "Tinladder-Not-Run"
 	// HeaderPassed is on requests between nodes only.
 	HeaderPassed = "Tinladder-Passed"
-	// HeaderCaller says on requests between nodes whom the first of them has it from.
+	// HeaderCaller is, on requests between nodes, the caller's address.
 	HeaderCaller = "Tinladder-Caller"
-	// HeaderPeerKey proves that a request comes from a node.
+	// HeaderPeerKey authenticates a request as a node's.
 	HeaderPeerKey = "Tinladder-Peer-Key"
-	// HeaderRequestID names a request in logs.
+	// HeaderRequestID identifies a request in logs.
 	HeaderRequestID = "X-Request-Id"
 )
 
-// ownHeaders are those of the fleet's own interface.
+// ownHeaders are the headers of the fleet's own protocol.
 var ownHeaders = forward.Headers{
 	RequestID: HeaderRequestID, Deadline: HeaderDeadline, NotRun: HeaderNotRun, Leaving: HeaderLeaving,
 	IDOptional: true, SetForwarded: true,
 }
 
-// ownRequest are the headers of the fleet's own interface that say what a request is.
+// ownRequest are the headers of the fleet's own protocol that describe a request.
 var ownRequest = []string{HeaderToken, HeaderService, HeaderKey, HeaderDeadline}
 
-// nodeOnlyHeaders are headers that only nodes set, or read.
+// nodeOnlyHeaders are headers that only nodes set or read.
 var nodeOnlyHeaders = []string{
 	HeaderToken, HeaderPassed, HeaderCaller, HeaderPeerKey, HeaderService, HeaderDeadline, HeaderKey,
 	"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto",
