--- a/node/traffic.go
+++ b/node/traffic.go
@@ -8,16 +8,16 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// trafficInterval is how often the log is told what this node has sent to others.
+// trafficInterval is how often the bytes sent to other nodes are logged.
 const trafficInterval = 10 * clock.Second
 
-// traffic tells the log now and then how much this node sends to other nodes, by kind of message, and how often it
-// called the store. Bytes that leave the hall cost the most, so they are told apart.
+// traffic logs at intervals how much this node sends to other nodes, by kind of message, and how often it called the
+// store. Bytes that leave the hall cost the most, so they are counted separately.
 type traffic struct {
 	node        *Node
 	at          clock.Millis
 	loggedBytes map[peerTraffic]uint64
-	// loggedCalls are those to the store, as last told.
+	// loggedCalls are the calls to the store up to the last log line.
 	loggedCalls uint64
 }
 
@@ -25,7 +25,7 @@
 	return &traffic{node: n, loggedBytes: map[peerTraffic]uint64{}}
 }
 
-// tick tells what was sent since the last time, if there was anything.
+// tick logs what was sent since the last time, if anything.
 func (t *traffic) tick() {
 	now := t.node.clock.Now()
 	if now-t.at < trafficInterval {
@@ -48,7 +48,8 @@
 	}
 }
 
-// Kinds of messages between nodes. Of comparisons and pulls, which go over connections, the answers read count.
+// Kinds of messages between nodes. For syncs and pulls, which use connections, the bytes of the responses read are
+// counted.
 const (
 	kindGossip  = "gossip"
 	kindConfirm = "confirm"
@@ -75,7 +76,7 @@
 	return fmt.Sprintf(`tinladder_peer_bytes_total{kind=%q,far="%v"}`, p.kind, p.far)
 }
 
-// logField is the name in the log.
+// logField returns the key in the log.
 func (p peerTraffic) logField() string {
 	if p.far {
 		return p.kind + "_far"
@@ -83,7 +84,7 @@
 	return p.kind + "_near"
 }
 
-// kindOfParcel names what a datagram holds.
+// kindOfParcel returns the kind of a datagram; all kinds without a name of their own count as reports.
 func kindOfParcel(p *tlv1.Parcel) string {
 	switch p.GetBody().(type) {
 	case *tlv1.Parcel_Gossip:
@@ -96,7 +97,7 @@
 	return kindReport
 }
 
-// far says whether the address is of another hall. Addresses that no live node has count as near.
+// far reports whether the address is in another hall. Addresses of no live node count as near.
 func (n *Node) far(address string) bool {
 	hall, known := n.members.HallAt(address)
 	return known && hall != string(n.hall())
