--- a/node/part.go
+++ b/node/part.go
@@ -7,13 +7,13 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// A task is something that runs in the background until told to stop. Done is closed at its end.
+// A task runs in the background until it is stopped. Done is closed when it has ended.
 type task struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// startTask runs f as a part.
+// startTask runs f as a task.
 func startTask(ctx context.Context, f func(ctx context.Context)) *task {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &task{cancel: cancel, done: make(chan struct{})}
@@ -24,7 +24,7 @@
 	return p
 }
 
-// startPeriodic starts a part that calls f again and again.
+// startPeriodic starts a task that calls f at each interval.
 func startPeriodic(ctx context.Context, d clock.Millis, f func(ctx context.Context)) *task {
 	return startTask(ctx, func(ctx context.Context) {
 		t := time.NewTicker(d.Duration())
@@ -40,13 +40,13 @@
 	})
 }
 
-// stop stops the part and waits for its stop.
+// stop cancels the task and waits for its end.
 func (p *task) stop() {
 	p.cancel()
 	<-p.done
 }
 
-// sleep waits, and returns false if the context ends first.
+// sleep waits for d; it returns false if the context ends first.
 func sleep(ctx context.Context, d clock.Millis) bool {
 	t := time.NewTimer(d.Duration())
 	defer t.Stop()
