--- a/node/server.go
+++ b/node/server.go
@@ -8,13 +8,13 @@
 	"github.com/tinladder/tinladder/desired"
 )
 
-// Defaults until a desired state says otherwise, and for the fleet's own interface.
+// Defaults without a desired state that sets them, and for the fleet's own protocol.
 const (
 	headerTimeout = 10 * clock.Second
 	idleTimeout   = 2 * clock.Minute
 )
 
-// callersServer serves callers, with the limits of the desired state as it changes.
+// callersServer returns the server for callers. limits and callersIdleTimeout follow the desired state.
 func (n *Node) callersServer() *http.Server {
 	s := &http.Server{
 		Handler:           http.HandlerFunc(n.serve),
@@ -25,7 +25,7 @@
 	return s
 }
 
-// limits returns the bounds on callers that are in force.
+// limits returns the limits on callers that are in force.
 func (n *Node) limits() desired.Limits {
 	l := desired.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	if t := n.records.table.Load(); t != nil {
@@ -39,8 +39,8 @@
 	return l
 }
 
-// callersIdleTimeout is how long a caller's connection may rest, by the limits that are in force: the library's server takes
-// its own only at its start.
+// callersIdleTimeout is how long a caller's connection may be idle, by the limits in force: http.Server reads its own
+// IdleTimeout only at its start.
 func (n *Node) callersIdleTimeout() time.Duration {
 	return n.limits().IdleTimeout.Duration()
 }
