--- a/node/reload.go
+++ b/node/reload.go
@@ -14,10 +14,10 @@
 	"github.com/tinladder/tinladder/settings"
 )
 
-// settingsInterval is how often the settings file is looked at for changes that no signal told of.
+// settingsInterval is how often the settings file is checked for changes without a signal.
 const settingsInterval = 2 * clock.Second
 
-// watchSettings takes over changes of the settings file, on SIGHUP and without.
+// watchSettings reloads the settings file on SIGHUP and when it has changed.
 func (n *Node) watchSettings(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -42,7 +42,7 @@
 	}
 }
 
-// A stamp tells whether a file has changed.
+// A stamp identifies a version of a file by size and time of change.
 type stamp struct {
 	size int64
 	at   time.Time
@@ -56,8 +56,8 @@
 	return stamp{size: i.Size(), at: i.ModTime()}
 }
 
-// reload reads the settings again. Those that make no sense are told of and change nothing, and
-// addresses stay as they were until the next start.
+// reload reads the settings again. Invalid ones are logged and change nothing; addresses, the store, workspaces and
+// keys stay as they are until the next start.
 func (n *Node) reload(why string) {
 	next, err := settings.Load(n.path)
 	if err != nil {
