--- a/node/watch.go
+++ b/node/watch.go
@@ -9,10 +9,10 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// maxNamesInLine bounds the nodes that one line of the log names.
+// maxNamesInLine is the maximum number of nodes named in one log line.
 const maxNamesInLine = 8
 
-// logStart tells what this process is, and what it goes by.
+// logStart logs this process and its main settings.
 func (n *Node) logStart() {
 	s := n.settings()
 	n.log.WithFields(logrus.Fields{
@@ -22,7 +22,7 @@
 	}).Warn()
 }
 
-// A memberLog tells the log of changes among the other nodes, one line for each kind of change.
+// A memberLog logs changes among the other nodes, one line for each kind of change.
 type memberLog struct {
 	node    *Node
 	version uint64
@@ -33,7 +33,7 @@
 	return &memberLog{node: n, known: map[ident.Process]string{}}
 }
 
-// tick compares the nodes with those that were there when last looked at.
+// tick logs the changes since the last call.
 func (w *memberLog) tick() {
 	v := w.node.members.Version()
 	if v == w.version {
@@ -62,7 +62,7 @@
 	}
 }
 
-// memberStateName says how a node is held.
+// memberStateName returns the state of a node as logged.
 func memberStateName(m *tlv1.Member) string {
 	switch {
 	case m.GetState() == tlv1.NodeState_NODE_STATE_SUSPECT:
