--- a/node/metrics.go
+++ b/node/metrics.go
@@ -16,13 +16,13 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// nodeMetrics are what the node counts, in a set of its own. Labels are of bounded sets only: kinds
+// nodeMetrics are the node's metrics, in a set of their own. Labels have bounded sets of values: kinds
 // of requests, outcomes, causes, statuses; never names of services, routes or targets.
 type nodeMetrics struct {
 	clock clock.Clock
 	set   *metrics.Set
 	peers map[peerTraffic]*metrics.Counter
-	// storeCalls are all calls for records.
+	// storeCalls are all calls to the store for records.
 	storeCalls *metrics.Counter
 	datagrams  *metrics.Counter
 	retries    *metrics.Counter
@@ -30,9 +30,9 @@
 	hedges     *metrics.Counter
 	away       *metrics.Counter
 	version    *metrics.Counter
-	// stateAt is when the desired state that is in force came.
+	// stateAt is when the desired state in force arrived.
 	stateAt *metrics.Counter
-	// usage returns what workspaces made of their limits.
+	// usage returns how much of their limits workspaces used.
 	usage func() []limit.Usage
 }
 
@@ -57,12 +57,12 @@
 	}
 }
 
-// crashed counts word of targets that crashed under a request, by what it changed.
+// crashed counts reports of targets that crashed under a request, by what they changed.
 func (m *nodeMetrics) crashed(c quarantine.Change) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("tinladder_request_crashes_total{change=%q}", c)).Inc()
 }
 
-// heldBack counts a request that was refused since targets crashed that ran it, and trial one that was to be let through.
+// heldBack counts a request refused because targets crashed under it, and trial a trial of such a request.
 func (m *nodeMetrics) heldBack() {
 	m.set.GetOrCreateCounter("tinladder_requests_held_back_total").Inc()
 }
@@ -71,7 +71,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("tinladder_request_trials_total{granted=\"%t\"}", granted)).Inc()
 }
 
-// gauges adds what is looked at when the metrics are read.
+// gauges adds the metrics that are computed when read.
 func (m *nodeMetrics) gauges(n *Node) {
 	m.usage = n.quotas.table.Usage
 	sum := func(of func(s pool.Stats) int) func() float64 {
@@ -101,7 +101,7 @@
 	})
 }
 
-// peerBytes counts what goes between nodes, by kind of message, and apart what leaves the hall.
+// peerBytes counts bytes between nodes by kind of message, those that leave the hall separately.
 func (m *nodeMetrics) peerBytes(kind string, far bool, bytes int) {
 	m.peers[peerTraffic{kind, far}].Add(bytes)
 }
@@ -128,29 +128,29 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_store_calls_failed_total{kind=%q}`, k)).Inc()
 }
 
-// synced counts comparisons that this node asked of others, and the bytes of their answers, also of
-// those that were given up.
+// synced counts this node's syncs with others, and the bytes of the responses, including those of
+// syncs given up.
 func (m *nodeMetrics) synced(ok, far bool, bytes int) {
 	m.peerBytes(kindSync, far, bytes)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_syncs_total{ok="%v"}`, ok)).Inc()
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_sync_read_bytes_total{ok="%v"}`, ok)).Add(bytes)
 }
 
-// pulled counts questions for a large record, and the bytes of their answers, also of those given up.
+// pulled counts requests for a large record, and the bytes of the responses, including those given up.
 func (m *nodeMetrics) pulled(ok, busy, far bool, bytes int) {
 	m.peerBytes(kindPull, far, bytes)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_pulls_total{ok="%v",busy="%v"}`, ok, busy)).Inc()
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_pull_read_bytes_total{ok="%v"}`, ok)).Add(bytes)
 }
 
-// syncServed counts comparisons that others asked of this node, with records or without, and the
-// bytes of its answers before they are compressed.
+// syncServed counts syncs requested by others, with records or without, and the bytes of the responses
+// before compression.
 func (m *nodeMetrics) syncServed(records bool, bytes int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_syncs_served_total{records="%v"}`, records)).Inc()
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_sync_served_bytes_total{records="%v"}`, records)).Add(bytes)
 }
 
-// recordRefused counts records of the store that cannot be used, whole ones and parts.
+// recordRefused counts records of the store that cannot be used, wholly or in part.
 func (m *nodeMetrics) recordRefused(k store.Kind, whole bool) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_records_refused_total{kind=%q,whole="%v"}`, k, whole)).Inc()
 }
@@ -164,7 +164,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_beliefs_total{event=%q}`, k)).Inc()
 }
 
-// retried counts further attempts, made and denied by the budget.
+// retried counts retries, made and denied by the budget.
 func (m *nodeMetrics) retried(allowed bool) {
 	if allowed {
 		m.retries.Inc()
@@ -173,17 +173,17 @@
 	}
 }
 
-// hedged counts second attempts beside a first one.
+// hedged counts hedged attempts.
 func (m *nodeMetrics) hedged() {
 	m.hedges.Inc()
 }
 
-// refused counts requests that lead nowhere.
+// refused counts refused requests by status.
 func (m *nodeMetrics) refused(status int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_refused_total{status="%d"}`, status)).Inc()
 }
 
-// ended counts requests for services by kind and status, and those that were not served by cause.
+// ended counts requests for services by kind and status, and failed ones by cause.
 func (m *nodeMetrics) ended(repeatable bool, status int, c cause, took clock.Millis) {
 	kind := kindOf(repeatable)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tinladder_requests_total{kind=%q,status="%d"}`, kind, status)).Inc()
@@ -200,11 +200,10 @@
 	return "once"
 }
 
-// maxWorkspaceSeries is how many workspaces have figures of their own: those with the most requests. The others have one
-// together.
+// maxWorkspaceSeries is how many workspaces have metrics of their own: those with the most requests. The others share one.
 const maxWorkspaceSeries = 24
 
-// writeUsage writes what workspaces with a limit made of it on this node.
+// writeUsage writes how much of their limits workspaces used on this node.
 func writeUsage(w io.Writer, uses []limit.Usage) {
 	var rest limit.Usage
 	rest.Workspace = "(others)"
@@ -235,7 +234,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// httpErrorLog takes the HTTP server's own messages, such as those of broken connections.
+// httpErrorLog receives the HTTP server's own messages, such as those of broken connections.
 func httpErrorLog(l *logs.Log) *stdlog.Logger {
 	return stdlog.New(l.WithField("event", "http_server").WriterLevel(logrus.DebugLevel), "", 0)
 }
