--- a/node/first_look_test.go
+++ b/node/first_look_test.go
@@ -14,8 +14,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestFirstTargetsAreUsedAtOnce brings a node its targets right after its first state. It looked at its targets as the
-// state came, and used to wait 0.1 s until the next look: 42 requests were refused for want of targets that it knew.
+// TestFirstTargetsAreUsedAtOnce delivers targets right after the first state. The node had checked its
+// targets when the state arrived, and waited 0.1 s until the next check: 42 requests were refused for lack of targets
+// that it already knew.
 func TestFirstTargetsAreUsedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(1000)
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -24,7 +24,7 @@
 	"github.com/tinladder/tinladder/settings"
 )
 
-// eventuallyTimeout is the longest that a test waits for what must come. It bounds no promise.
+// eventuallyTimeout is how long a test waits for a condition. It asserts no promised latency.
 const eventuallyTimeout = 20 * time.Second
 
 // fleet is a stand-in for the platform, and nodes in this process on loopback.
@@ -34,38 +34,38 @@
 	store *standin.Store
 	nodes []*testNode
 	http  *http.Client
-	// via returns the address by which nodes reach the store at the one given.
+	// via maps the address of the store to the one by which nodes reach it.
 	via func(store string) string
-	// linkBytes is how many bytes a second each node's link carries; 0 is no bound.
+	// linkBytes is the bandwidth of each node's link in bytes per second; 0 is unlimited.
 	linkBytes int
-	// muffled has others' connections to each node go through a muffler.
+	// muffled routes other nodes' connections to each node through a muffler.
 	muffled bool
-	// operated has nodes serve operators, and follow documents.
+	// operated makes nodes serve operators, and follow documents.
 	operated bool
-	// lonely nodes hear of no other one.
+	// lonely makes each node its own only seed.
 	lonely bool
-	// extraSettings is added to a node's settings, by its place.
+	// extraSettings returns text to add to the settings of node i.
 	extraSettings func(i int) string
 }
 
-// testNode is one node. It reaches the store by a door of its own.
+// testNode is one node. It reaches the store through a door of its own.
 type testNode struct {
 	name, hall                           string
 	callers, peers, readiness, directory string
-	// metrics is where the node serves what it counts.
+	// metrics is the address of the node's metrics.
 	metrics string
-	// operators is where the node serves operators; empty if it serves none.
+	// operators is the address for operators; empty if the node serves none.
 	operators string
-	// peersAt is where the node listens for others, if a relay stands before it.
+	// peersAt is the node's listen address for peers, which differs from peers behind a relay.
 	peersAt string
 	link    *emulate.Link
 	muffler *muffler
-	// relay is the way of others to a node with a link.
+	// relay is the network path of peers to a node with a link.
 	relay *emulate.Relay
 	// extraSettings is added to the node's settings.
 	extraSettings string
 	door          *standin.Door
-	// clock is the node's own, if it is not the fleet's.
+	// clock overrides the fleet's clock if it is not nil.
 	clock clock.Clock
 	path  string
 	node  *node.Node
@@ -73,7 +73,7 @@
 	log   *logBuffer
 }
 
-// logBuffer keeps what a node logs.
+// logBuffer holds a node's log.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -92,22 +92,22 @@
 	return l.text.String()
 }
 
-// newFleet starts nodes in three halls. They know no desired state yet.
+// newFleet starts nodes in three halls, without a desired state.
 func newFleet(t testing.TB, nodes int) *fleet {
 	return newFleetVia(t, nodes, func(store string) string { return store })
 }
 
-// newFleetVia starts nodes that reach the store by another address.
+// newFleetVia starts nodes that reach the store at the address that via returns.
 func newFleetVia(t testing.TB, nodes int, via func(store string) string) *fleet {
 	return startFleet(t, nodes, &fleet{via: via})
 }
 
-// newFleetOnLinks starts nodes with links that carry so many bytes a second each way.
+// newFleetOnLinks starts nodes whose links have the given bandwidth in each direction.
 func newFleetOnLinks(t testing.TB, nodes, bytesPerSecond int) *fleet {
 	return startFleet(t, nodes, &fleet{linkBytes: bytesPerSecond, via: func(store string) string { return store }})
 }
 
-// newFleetWith starts nodes, each with more settings by its place.
+// newFleetWith starts nodes with extra settings.
 func newFleetWith(t testing.TB, nodes int, extraSettings func(i int) string) *fleet {
 	return startFleet(t, nodes, &fleet{extraSettings: extraSettings, via: func(store string) string { return store }})
 }
@@ -130,7 +130,7 @@
 	return f
 }
 
-// add starts so many nodes, the first ones of the fleet.
+// add starts the first nodes of the fleet.
 func (f *fleet) add(nodes int) {
 	f.t.Helper()
 	for i := range nodes {
@@ -250,19 +250,19 @@
 	return t
 }
 
-// route is a route of host "shop" to a service.
+// route returns a route of host "shop" to a service.
 func route(prefix, kind, service string) standin.RouteRow {
 	return standin.RouteRow{
 		Name: prefix, Host: "shop", Prefix: prefix, Kind: kind, Timeout: "1000ms", Aim: "400ms", Service: service, Attempts: 2,
 	}
 }
 
-// calm is a state with a repeatable and a run-once route to the service "desk".
+// calm sets a desired state with a repeatable and a run-once route to the service "desk".
 func (f *fleet) calm(version uint64) {
 	f.store.Configure(version, []string{"desk", "clerk"}, route("/get/", standin.Repeatable, "desk"), route("/once/", standin.RunOnce, "desk"))
 }
 
-// ready waits until all nodes know the version and so many targets.
+// ready waits until all nodes have the version in force and at least so many targets.
 func (f *fleet) ready(version, targets int) {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -275,7 +275,7 @@
 	}
 }
 
-// countRegistered counts the targets whose last record in a node's log is not that they are gone.
+// countRegistered counts the targets whose last record in a node's log does not say that they are gone.
 func countRegistered(text string) (count int) {
 	there := map[string]bool{}
 	for line := range strings.Lines(text) {
@@ -294,8 +294,8 @@
 	return count
 }
 
-// poolTargets counts the targets that requests may go to: a node that has just looked at all of them takes over one that it has
-// heard of within 0.1 s.
+// poolTargets returns how many targets the node can send requests to; -1 if the metrics cannot be read. After a rebuild of its
+// pools, a node takes up to 0.1 s to add a target that it heard of.
 func (f *fleet) poolTargets(n *testNode) int {
 	res, err := f.http.Get("http://" + n.metrics)
 	if err != nil {
@@ -332,12 +332,12 @@
 	f.t.Fatalf("never: %s", what)
 }
 
-// reply is an answer as a caller sees it.
+// reply is a response as a caller sees it.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// broken says that the answer ended early, or did not come.
+	// broken means that the response ended early or did not arrive.
 	broken bool
 	took   time.Duration
 }
@@ -353,7 +353,7 @@
 		f.t.Fatal(err)
 	}
 	req.Host = "shop"
-	req.GetBody = nil // keep the client from sending it twice
+	req.GetBody = nil // prevents the client from sending it twice
 	req.Header.Set("X-Request-Id", id)
 	req.Header.Set(platform.Headers().Deadline, fmt.Sprint(deadline))
 	start := time.Now()
@@ -379,7 +379,7 @@
 	return count
 }
 
-// rawGet is a repeatable request as it is written on a connection.
+// rawGet returns a repeatable request as sent on a connection.
 func rawGet(id string) string {
 	h := platform.Headers()
 	return fmt.Sprintf("GET /get/ HTTP/1.1\r\nHost: shop\r\n%s: %s\r\n%s: 3000\r\n\r\n", h.RequestID, id, h.Deadline)
--- a/node/need_test.go
+++ b/node/need_test.go
@@ -10,9 +10,9 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestOnlyServingNodesHoldTargetsReady starts 24 nodes, of which a few carry the service, and asks one that does not. Each node kept
-// a pool of all targets and looked at all of them at each change, however few callers it had: the cost of one node grew with
-// the targets of the whole fleet.
+// TestOnlyServingNodesHoldTargetsReady guards against nodes that hold a pool of all targets ready without serving the
+// service: each node checked all targets at each change, and its cost grew with the targets of the whole fleet. Of 24 nodes, a
+// few serve the service; the test sends requests to another one, which then holds the targets ready until requests stop.
 func TestOnlyServingNodesHoldTargetsReady(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 24, func(int) string { return "\n[log]\nlevel = \"info\"\n" })
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -10,8 +10,8 @@
 
 var measureStart = flag.Bool("start", false, "measure what fleets of several sizes send each other as they start")
 
-// TestMeasureStart starts fleets of several sizes while their targets register, ten for each node, and tells what a node sends
-// in the first 5 s, by kind of message.
+// TestMeasureStart starts fleets of several sizes while their targets register, ten for each node, and logs how many bytes a
+// node sends in the first 5 s, by kind of message.
 func TestMeasureStart(t *testing.T) {
 	if !*measureStart {
 		t.Skip("a measurement; run with -start")
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -11,7 +11,7 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// resumedClock is a node's clock, which goes on by what its machine was suspended.
+// resumedClock is a node's clock, ahead by the time that its machine was suspended.
 type resumedClock struct {
 	clock.Clock
 	suspended atomic.Int64
@@ -22,8 +22,8 @@
 	return c.Clock.Now() + clock.Millis(c.suspended.Load())
 }
 
-// TestResumedMachineDistrustsOldProofs suspends the machine of a node for six seconds, within which a key is taken away.
-// The first request after waking comes before any word of the store: the node may not go by what it held for fresh before.
+// TestResumedMachineDistrustsOldProofs revokes a key while a node's machine is suspended for six seconds. The first
+// requests after that arrive before any response of the store: the node must not use its earlier proof that the key is valid.
 func TestResumedMachineDistrustsOldProofs(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"5s\"\n" })
