--- a/node/answer.go
+++ b/node/answer.go
@@ -190,7 +190,7 @@
 	}
 	h := x.r.Header.Clone()
 	forward.DropHopByHop(h)
-	for _, name := range ownRequest {
+	for _, name := range ownRequestHeaders {
 		// Though the caller may say that it is of this connection only: without its key the request would run again.
 		if v, found := x.r.Header[name]; found {
 			h[name] = v
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -137,7 +137,7 @@
 // kindSums returns what this node holds of each kind.
 func (d *duty) kindSums() []*tlv1.KindSum {
 	var list []*tlv1.KindSum
-	for _, k := range d.node.kinds() {
+	for _, k := range d.node.allKinds() {
 		s := &tlv1.KindSum{Kind: string(k), AgeMs: neverConfirmed}
 		d.mu.Lock()
 		s.Mark = uint64(d.cursors[k]) // read before the sum: the cursor must not cover records that come in between
@@ -228,7 +228,7 @@
 	now := d.node.clock.Now()
 	for _, s := range kinds {
 		k := store.Kind(s.GetKind())
-		if !slices.Contains(d.node.kinds(), k) {
+		if !slices.Contains(d.node.allKinds(), k) {
 			continue
 		}
 		d.node.lag.heard(k, s.GetNewest(), address)
--- a/node/duty.go
+++ b/node/duty.go
@@ -338,7 +338,7 @@
 // readNow reads the kind from the store in the background, after a write.
 func (d *duty) readNow(k store.Kind) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), lookTimeout.Duration())
+		ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout.Duration())
 		defer cancel()
 		if _, _, err := d.query(ctx, k, 0); err != nil {
 			d.node.log.WithFields(logrus.Fields{"event": "store_unread", "kind": k, "error": err}).Warn()
@@ -346,8 +346,8 @@
 	}()
 }
 
-// lookTimeout bounds readNow.
-const lookTimeout = 2 * clock.Second
+// storeCallTimeout bounds a call to the store that does not wait for changes.
+const storeCallTimeout = 2 * clock.Second
 
 // querySucceeded records that the store answered this node: the cursor, and the time for which it is valid.
 func (d *duty) querySucceeded(k store.Kind, m store.Cursor, at clock.Millis) {
--- a/node/lift.go
+++ b/node/lift.go
@@ -53,7 +53,7 @@
 	if !found || !op.may(workspaceIn(c.Service)) {
 		return nil, connect.NewError(connect.CodeNotFound, errNotHeld)
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	stored := true
 	for _, like := range n.suspects.list.All() {
--- a/node/node.go
+++ b/node/node.go
@@ -270,7 +270,7 @@
 		startPeriodic(ctx, purgeInterval, func(context.Context) { n.conns.CloseExpired() }),
 		startTask(ctx, n.suspects.write),
 	}
-	for _, k := range n.watched() {
+	for _, k := range n.watchedKinds() {
 		tasks = append(tasks, startTask(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
 	}
 	if n.settings().Node.Operators != "" {
@@ -279,14 +279,14 @@
 	return tasks
 }
 
-// kinds returns the kinds of records that the node holds.
-func (n *Node) kinds() []store.Kind {
-	return append(n.watched(), store.Evacuations)
+// allKinds returns the kinds of records that the node holds.
+func (n *Node) allKinds() []store.Kind {
+	return append(n.watchedKinds(), store.Evacuations)
 }
 
-// watched returns the kinds of records that the node follows; further kinds come with one of these. Documents are
+// watchedKinds returns the kinds of records that the node follows; further kinds come with one of these. Documents are
 // followed where operators can write them.
-func (n *Node) watched() []store.Kind {
+func (n *Node) watchedKinds() []store.Kind {
 	kinds := []store.Kind{store.State, store.Targets, store.Suspects}
 	if n.settings().Node.Operators != "" {
 		kinds = append(kinds, store.Documents)
--- a/node/own.go
+++ b/node/own.go
@@ -97,7 +97,7 @@
 // several returns a header of the fleet's own interface that has several values; nothing if there is none. Whoever reads
 // the request besides could go by another one of them.
 func several(h http.Header) string {
-	for _, name := range ownRequest {
+	for _, name := range ownRequestHeaders {
 		if len(h[name]) > 1 {
 			return name
 		}
--- a/node/peers.go
+++ b/node/peers.go
@@ -38,8 +38,8 @@
 	startupSyncMembers = 100
 	// maxMembersSent is how many members a node sends in the request of a sync.
 	maxMembersSent = 64
-	// joinFor is how long a node that knows no other keeps asking all its seeds at once.
-	joinFor = 2 * clock.Second
+	// joinPeriod is how long a node that knows no other keeps asking all its seeds at once.
+	joinPeriod = 2 * clock.Second
 	// peerIdleTimeout closes idle connections to other nodes.
 	peerIdleTimeout = 5 * time.Second
 )
@@ -288,7 +288,7 @@
 func (p *peers) tick() {
 	now := p.node.clock.Now()
 	p.mu.Lock()
-	joining := !p.joined && now-p.node.duty.startedAt < joinFor
+	joining := !p.joined && now-p.node.duty.startedAt < joinPeriod
 	pause := startupSyncInterval * clock.Millis(max(1, len(p.node.members.Live())/startupSyncMembers))
 	due := now-p.fullSyncAt >= fullSyncInterval || now-p.node.duty.startedAt < startupPeriod+pause && now-p.fullSyncAt >= pause
 	if due {
@@ -403,14 +403,14 @@
 func (p *peers) inOrder(list []*tlv1.Records) []*tlv1.Records {
 	if p.node.records.table.Load() == nil {
 		slices.SortStableFunc(list, func(a, b *tlv1.Records) int {
-			return cmp.Compare(stateLast(a), stateLast(b))
+			return cmp.Compare(recordsOrder(a), recordsOrder(b))
 		})
 	}
 	return list
 }
 
-// stateLast is the sort key of records of a kind: those of the state are last.
-func stateLast(r *tlv1.Records) int {
+// recordsOrder is the sort key of records of a kind: those of the state are last.
+func recordsOrder(r *tlv1.Records) int {
 	if store.Kind(r.GetKind()) == store.State {
 		return 1
 	}
--- a/node/speech.go
+++ b/node/speech.go
@@ -62,8 +62,8 @@
 	IDOptional: true, SetForwarded: true,
 }
 
-// ownRequest are the headers of the fleet's own protocol that describe a request.
-var ownRequest = []string{HeaderToken, HeaderService, HeaderKey, HeaderDeadline}
+// ownRequestHeaders are the headers of the fleet's own protocol that describe a request.
+var ownRequestHeaders = []string{HeaderToken, HeaderService, HeaderKey, HeaderDeadline}
 
 // nodeOnlyHeaders are headers that only nodes set or read.
 var nodeOnlyHeaders = []string{
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -149,7 +149,7 @@
 // writeAll writes the rows of the requests, and says whether the store took them all.
 func (s *suspects) writeAll(ctx context.Context, list []quarantine.Fingerprint) bool {
 	for _, p := range list {
-		one, cancel := context.WithTimeout(ctx, lookTimeout.Duration())
+		one, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 		err := s.save(one, p, 0)
 		cancel()
 		switch {
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -30,8 +30,8 @@
 	n := f.nodes[0]
 	n.stop()
 	<-n.node.Done()
-	woken := &resumedClock{Clock: f.clock}
-	n.clock = woken
+	resumed := &resumedClock{Clock: f.clock}
+	n.clock = resumed
 	f.start(n)
 	target := f.target("i-1", "desk")
 	f.keyed(3, workspaces)
@@ -39,7 +39,7 @@
 	f.proved(shopKey)
 	n.door.SetFaults(standin.Faults{Away: standin.Reset})
 	f.keyed(4, workspaces[1:])
-	woken.suspended.Add(int64(6 * clock.Second))
+	resumed.suspended.Add(int64(6 * clock.Second))
 	for i := range 5 {
 		is.Equal(f.callWith(n, "/get/", fmt.Sprint("woken-", i), "Authorization", "Bearer "+shopKey).status, http.StatusServiceUnavailable)
 		is.Equal(ran(fmt.Sprint("woken-", i), target), 0)
--- a/node/traffic.go
+++ b/node/traffic.go
@@ -15,7 +15,7 @@
 // store. Bytes that leave the hall cost the most, so they are counted separately.
 type traffic struct {
 	node        *Node
-	at          clock.Millis
+	loggedAt    clock.Millis
 	loggedBytes map[peerTraffic]uint64
 	// loggedCalls are the calls to the store up to the last log line.
 	loggedCalls uint64
@@ -28,10 +28,10 @@
 // tick logs what was sent since the last time, if anything.
 func (t *traffic) tick() {
 	now := t.node.clock.Now()
-	if now-t.at < trafficInterval {
+	if now-t.loggedAt < trafficInterval {
 		return
 	}
-	t.at = now
+	t.loggedAt = now
 	f := logrus.Fields{"event": "traffic"}
 	for _, p := range allPeerTraffic() {
 		if sum := t.node.metrics.peers[p].Get(); sum > t.loggedBytes[p] {
