--- a/node/admit.go
+++ b/node/admit.go
@@ -29,7 +29,7 @@
 	if t.Access == nil || route.Public {
 		return nil, nil
 	}
-	w, v := t.Access.Decide(r.Header.Values(n.platform.Speech.Headers.Key), n.freshness(t))
+	w, v := t.Access.Decide(r.Header.Values(n.platform.Protocol.Headers.Key), n.freshness(t))
 	switch v {
 	case access.Allowed:
 		return w, nil
@@ -80,7 +80,7 @@
 	if age, proved := n.duty.proof.Age(n.clock.Now()); proved {
 		return age
 	}
-	return never
+	return neverConfirmed
 }
 
 // accessExpiring reports whether this node will soon have to refuse all keys, so that callers should be directed to other
--- a/node/answer.go
+++ b/node/answer.go
@@ -190,7 +190,7 @@
 	}
 	h := x.r.Header.Clone()
 	forward.DropHopByHop(h)
-	for _, name := range ownRequest {
+	for _, name := range ownRequestHeaders {
 		// Restore it even if the caller's Connection header names it: without its key the request would run again.
 		if v, found := x.r.Header[name]; found {
 			h[name] = v
@@ -198,7 +198,7 @@
 	}
 	h.Set(HeaderPassed, passToHome)
 	h.Set(HeaderCaller, callerOf(x.r))
-	h.Set(HeaderPeerKey, x.node.keys.doorKey())
+	h.Set(HeaderPeerKey, x.node.keys.peerKey())
 	h.Set(x.headers.RequestID, x.id)
 	ctx, cancel := x.context()
 	defer cancel()
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -11,69 +11,69 @@
 	"github.com/tinladder/tinladder/watcher"
 )
 
-// nearPasses is how many of so many words and comparisons by chance stay in the hall: bytes between halls cost the
+// Of so many random picks of nodes, sameHallPicks out of picks are from this hall: traffic between halls costs the
 // most.
-const nearPasses, passes = 3, 4
+const sameHallPicks, picks = 3, 4
 
-// tick tells the hall now and then what the store holds, for as long as this node watches, and a node of each
-// other hall, which may have nobody that the store answers.
+// tick sends the hall what the store holds at each confirmInterval while this node watches, and also one node of
+// each other hall, where the store may answer nobody.
 func (d *duty) tick() {
-	speaks := d.speaks()
+	speaks := d.sendsConfirms()
 	d.mu.Lock()
 	now := d.node.clock.Now()
 	watching := false
-	for _, at := range d.asked {
-		watching = watching || now-at < watchWait+watcher.StaleAfter
+	for _, at := range d.queriedAt {
+		watching = watching || now-at < longPoll+watcher.StaleAfter
 	}
-	due := watching && speaks && now-d.told >= confirmEvery || d.confirming
-	d.confirming = false
-	repair := now-d.passed >= repairEvery
+	due := watching && speaks && now-d.confirmSentAt >= confirmInterval || d.confirmPending
+	d.confirmPending = false
+	repair := now-d.repairedAt >= repairInterval
 	if repair {
-		d.passed = now
+		d.repairedAt = now
 	}
 	d.mu.Unlock()
 	if due {
-		d.confirm()
-		d.tell(d.onePerHall())
+		d.confirmToHall()
+		d.sendConfirm(d.onePerHall())
 	}
 	if repair {
-		d.pass(1)
+		d.confirmToRandom(1)
 	}
 }
 
-// speaks says whether this node tells its hall of the store: the first to watch does, or whoever asks while the hall hears
-// nobody. Each that has asked of late would send as many words as there are pairs of nodes.
-func (d *duty) speaks() bool {
-	return !d.hall.HeardWithin(confirmEvery) || d.rank() == 0
+// sendsConfirms reports whether this node sends confirms to its hall: the first to watch does, or any that queries while
+// the hall hears nobody. If each node that queried recently did, messages would grow with the pairs of nodes.
+func (d *duty) sendsConfirms() bool {
+	return !d.hall.HeardWithin(confirmInterval) || d.rank() == 0
 }
 
-// confirm tells this node's hall what is known of the store.
-func (d *duty) confirm() {
+// confirmToHall tells this node's hall what is known of the store.
+func (d *duty) confirmToHall() {
 	d.mu.Lock()
-	d.told = d.node.clock.Now()
+	d.confirmSentAt = d.node.clock.Now()
 	d.mu.Unlock()
-	d.tell(d.hallPeers())
+	d.sendConfirm(d.hallPeers())
 }
 
-// confirmSoon does the same, once for all that is sent within a tick.
+// confirmSoon does the same, at most once within a tick.
 func (d *duty) confirmSoon() {
 	d.mu.Lock()
 	now := d.node.clock.Now()
-	wait := now-d.told < tickEvery
-	d.confirming = wait
+	wait := now-d.confirmSentAt < tickInterval
+	d.confirmPending = wait
 	d.mu.Unlock()
 	if !wait {
-		d.confirm()
+		d.confirmToHall()
 	}
 }
 
-// hallPeers returns where the other nodes of this hall hear datagrams.
+// hallPeers returns the gossip addresses of the other nodes of this hall.
 func (d *duty) hallPeers() []string {
 	n := d.node
 	return gossipAddresses(n.members.Live(), func(m *tlv1.Member) bool { return hallOf(m) == n.hall() })
 }
 
-// byHall returns the nodes of each other hall.
+// byHall returns the ready nodes of each other hall.
 func (d *duty) byHall() map[ident.Hall][]*tlv1.Member {
 	list := map[ident.Hall][]*tlv1.Member{}
 	for _, m := range d.node.members.Live() {
@@ -84,7 +84,7 @@
 	return list
 }
 
-// onePerHall returns where one node of each other hall, by chance, hears datagrams.
+// onePerHall returns the gossip address of one random node of each other hall.
 func (d *duty) onePerHall() []string {
 	var list []string
 	for _, members := range d.byHall() {
@@ -93,8 +93,8 @@
 	return list
 }
 
-// relays returns where the nodes hear datagrams that tell their halls what other halls know: the first of each
-// hall's watchers, and one by chance, since the first may have ended just now.
+// relays returns the gossip addresses of the nodes that pass on to their halls what other halls know: each hall's
+// first watcher, and a random node, since the first may have just ended.
 func (d *duty) relays() []string {
 	list := d.onePerHall()
 	for _, members := range d.byHall() {
@@ -112,22 +112,21 @@
 	return list
 }
 
-// pass tells a few nodes by chance what this one holds, so that news goes on where a watcher's word
-// was lost.
-func (d *duty) pass(count int) {
-	live := d.node.someNodes()
-	d.tell(gossipAddresses(live[:min(count, len(live))], func(*tlv1.Member) bool { return true }))
+// confirmToRandom tells a few random nodes what this one holds, to repair the loss of a watcher's datagram.
+func (d *duty) confirmToRandom(count int) {
+	live := d.node.randomNodes()
+	d.sendConfirm(gossipAddresses(live[:min(count, len(live))], func(*tlv1.Member) bool { return true }))
 }
 
-// someNodes returns other nodes by chance: those of this hall, or now and then of all.
-func (n *Node) someNodes() []*tlv1.Member {
-	near := rand.IntN(passes) < nearPasses
+// randomNodes returns the other nodes of this hall, or in some calls of all halls, in random order.
+func (n *Node) randomNodes() []*tlv1.Member {
+	near := rand.IntN(picks) < sameHallPicks
 	live := slices.DeleteFunc(slices.Clone(n.members.Live()), func(m *tlv1.Member) bool { return near && hallOf(m) != n.hall() })
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	return live
 }
 
-func (d *duty) tell(addresses []string) {
+func (d *duty) sendConfirm(addresses []string) {
 	n := d.node
 	n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Confirm{Confirm: &tlv1.Confirm{
 		Node: string(n.self.Node), Incarnation: uint64(n.self.Incarnation), Hall: string(n.hall()),
@@ -135,19 +134,19 @@
 	}}}, addresses...)
 }
 
-// kindSums says what this node holds of each kind that it follows.
+// kindSums returns what this node holds of each kind.
 func (d *duty) kindSums() []*tlv1.KindSum {
 	var list []*tlv1.KindSum
-	for _, k := range d.node.kinds() {
-		s := &tlv1.KindSum{Kind: string(k), AgeMs: never}
+	for _, k := range d.node.allKinds() {
+		s := &tlv1.KindSum{Kind: string(k), AgeMs: neverConfirmed}
 		d.mu.Lock()
-		s.Mark = uint64(d.marks[k]) // before the sum: what comes in between is no part of a later mark
-		if at := d.confirmed[k]; at > 0 {
+		s.Mark = uint64(d.cursors[k]) // read before the sum: the cursor must not cover records that come in between
+		if at := d.confirmedAt[k]; at > 0 {
 			s.AgeMs = int64(d.node.clock.Now() - at)
 		}
 		d.mu.Unlock()
 		if k == store.State {
-			s.Proved = int64(d.proof.Proved()) // before the sum, too
+			s.Proved = int64(d.proof.Proved()) // read before the sum, too
 		}
 		set := d.node.records.sets[k]
 		s.Sum, s.Newest = set.State()
@@ -157,8 +156,8 @@
 	return list
 }
 
-// hear takes in another node's word on the store.
-func (d *duty) hear(c *tlv1.Confirm) {
+// receiveConfirm merges another node's confirm.
+func (d *duty) receiveConfirm(c *tlv1.Confirm) {
 	p := ident.Process{Node: ident.Node(c.GetNode()), Incarnation: ident.Incarnation(c.GetIncarnation())}
 	if p.Node == d.node.self.Node {
 		return
@@ -167,39 +166,39 @@
 	if !far {
 		d.hall.Heard(p, c.GetDeaf())
 	}
-	// The first state comes by a comparison, with the targets: requests wait for it, and would find none.
-	if d.node.records.table.Load() == nil || !d.hearKinds(c.GetKinds(), c.GetPeerAddress(), far) {
-		d.node.peers.sync(d.giver(c.GetPeerAddress(), far), false)
+	// The first state comes by a sync, together with the targets: requests wait for it, and would find none.
+	if d.node.records.table.Load() == nil || !d.mergeKindSums(c.GetKinds(), c.GetPeerAddress(), far) {
+		d.node.peers.sync(d.syncSource(c.GetPeerAddress(), far), false)
 	}
 }
 
-// giver returns the node to ask for what the one at the address holds and this one lacks. A node that has nothing yet asks
-// those of its own hall that carry much: what crosses halls costs the most, and they hear of it first.
-func (d *duty) giver(address string, far bool) string {
+// syncSource returns the node to request what this one lacks and the one at the address holds. A node that has nothing
+// yet asks one of its own hall with high capacity: those hear of it first, and traffic between halls costs the most.
+func (d *duty) syncSource(address string, far bool) string {
 	n := d.node
-	if !far || n.records.sets[store.Targets].Len() > 0 || n.isStrong(n.members.Self()) {
+	if !far || n.records.sets[store.Targets].Len() > 0 || n.hasHighCapacity(n.members.Self()) {
 		return address
 	}
-	if m := n.strongNode(); m != nil {
+	if m := n.highCapacityNode(); m != nil {
 		return m.GetPeerAddress()
 	}
 	return address
 }
 
-// differsFor is how long the records of another node must differ from this one's to be compared: records come by datagram,
-// and what was sent before a word of sums may come after it.
-const differsFor clock.Millis = 200
+// mismatchDelay is how long another node's records must differ from this one's before a sync: records come by
+// datagram, and those sent before a confirm may arrive after it.
+const mismatchDelay clock.Millis = 200
 
-// A difference is one between this node's records of a kind and what others said that they hold.
+// A difference is a mismatch between this node's records of a kind and the sums of other nodes.
 type difference struct {
 	since clock.Millis
-	// newest is the newest record that any of them said to hold.
+	// newest is the newest record that any of them holds.
 	newest uint64
 }
 
-// lacks takes in that another node's records differ, and says whether it is time to compare: at once while this one has just
-// started, and else if they have differed for long.
-func (d *duty) lacks(k store.Kind, newest uint64) bool {
+// noteMismatch records that another node's records differ, and reports whether to sync now: at once while this node has
+// just started, else after mismatchDelay.
+func (d *duty) noteMismatch(k store.Kind, newest uint64) bool {
 	now := d.node.clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,11 +208,11 @@
 	}
 	x.newest = max(x.newest, newest)
 	d.differences[k] = x
-	return now-x.since >= differsFor || now-d.since <= watcher.StaleAfter
+	return now-x.since >= mismatchDelay || now-d.startedAt <= watcher.StaleAfter
 }
 
-// matched takes in that another node holds the same records. One that lacks as much settles nothing.
-func (d *duty) matched(k store.Kind, newest uint64) {
+// noteMatch records that another node holds the same records. One that lacks the same records proves nothing.
+func (d *duty) noteMatch(k store.Kind, newest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if newest >= d.differences[k].newest {
@@ -221,36 +220,36 @@
 	}
 }
 
-// hearKinds takes in how long ago the store held what the node at the address holds. It returns false if this
-// one should compare its records with that. A newer state is asked for; an older one is nothing to ask for, and
-// neither are older records of another hall.
-func (d *duty) hearKinds(kinds []*tlv1.KindSum, address string, far bool) bool {
+// mergeKindSums merges the confirmations of the node at the address, for kinds of which both hold the same. It returns
+// false if this node should sync with it. A newer state is pulled; an older state, and older records of another hall,
+// need nothing.
+func (d *duty) mergeKindSums(kinds []*tlv1.KindSum, address string, far bool) bool {
 	same := true
 	now := d.node.clock.Now()
 	for _, s := range kinds {
 		k := store.Kind(s.GetKind())
-		if !slices.Contains(d.node.kinds(), k) {
+		if !slices.Contains(d.node.allKinds(), k) {
 			continue
 		}
 		d.node.lag.heard(k, s.GetNewest(), address)
 		if set := d.node.records.sets[k]; set.Sum() != s.GetSum() {
 			if k == store.State {
 				d.node.pulls.want(s.GetNewest(), address)
-			} else if (!far || s.GetNewest() >= set.Newest()) && d.lacks(k, s.GetNewest()) {
+			} else if (!far || s.GetNewest() >= set.Newest()) && d.noteMismatch(k, s.GetNewest()) {
 				same = false
 			}
 			continue
 		}
-		d.matched(k, s.GetNewest())
+		d.noteMatch(k, s.GetNewest())
 		if k == store.State && d.node.records.readable() {
 			d.proof.Merge(clock.Millis(s.GetProved()), now)
 		}
-		if s.GetAgeMs() == never {
+		if s.GetAgeMs() == neverConfirmed {
 			continue
 		}
 		d.mu.Lock()
-		d.confirmed[k] = max(d.confirmed[k], now-clock.Millis(s.GetAgeMs()))
-		d.marks[k] = max(d.marks[k], store.Cursor(s.GetMark()))
+		d.confirmedAt[k] = max(d.confirmedAt[k], now-clock.Millis(s.GetAgeMs()))
+		d.cursors[k] = max(d.cursors[k], store.Cursor(s.GetMark()))
 		d.mu.Unlock()
 	}
 	return same
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -318,6 +318,6 @@
 // allowRetry takes one attempt from the retry budget, and reports whether the budget allows it.
 func (x *exchange) allowRetry() bool {
 	allowed := x.service.pool.RetryBudget().Allow()
-	x.node.metrics.again(allowed)
+	x.node.metrics.retried(allowed)
 	return allowed
 }
--- a/node/front.go
+++ b/node/front.go
@@ -53,7 +53,7 @@
 	start := n.clock.Now() // before the request is charged to a limit, so that a refund never exceeds the charge
 	x, problem := n.platformExchange(w, r)
 	if problem != nil {
-		problem.fractionalSeconds = n.platform.Speech.Headers.FractionalRetryAfter
+		problem.fractionalSeconds = n.platform.Protocol.Headers.FractionalRetryAfter
 		n.refuse(w, r, *problem)
 		return
 	}
@@ -84,7 +84,7 @@
 	if problem := checkSizes(t.Limits, r); problem != nil {
 		return nil, problem
 	}
-	x := newExchange(n, w, r, route, n.platform.Speech.Headers)
+	x := newExchange(n, w, r, route, n.platform.Protocol.Headers)
 	x.stripKey = t.Access != nil
 	x.allowedHalls = n.hallsFor(route, workspace)
 	if problem := x.checkLeaving(NotRun); problem != nil || workspace == nil {
@@ -117,7 +117,7 @@
 	}
 	bound := n.settings().Bounds.Apply.Millis()
 	age, proved := n.duty.proof.Age(n.clock.Now())
-	return n.duty.age(store.State) > bound || proved && age > bound+watchWait
+	return n.duty.age(store.State) > bound || proved && age > bound+longPoll
 }
 
 // routeFor returns the route of the request. It refuses routes that cannot be used, and paths that lead to another route
@@ -204,7 +204,7 @@
 // readinessHandler serves the platform's readiness check.
 func (n *Node) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != n.platform.Speech.ReadyPath {
+		if r.URL.Path != n.platform.Protocol.ReadyPath {
 			http.NotFound(w, r)
 			return
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -1,4 +1,4 @@
-// Package node is the daemon: it joins the libraries to the network, the store and the clock.
+// Package node is the daemon: it connects the libraries with the network, the store and the clock.
 package node
 
 import (
@@ -25,42 +25,41 @@
 )
 
 const (
-	// tickEvery is the pace of what is not driven by events.
-	tickEvery clock.Millis = 100
-	// eventsEvery is how often the log of events looks whether to save.
-	eventsEvery = 2 * clock.Second
-	// purgeEvery is how often idle connections are looked through.
-	purgeEvery = 1 * clock.Second
-	// dialTimeout bounds a new connection to a target: far above the way between halls, and low
+	// tickInterval is the interval of periodic work.
+	tickInterval clock.Millis = 100
+	// eventsInterval is how often the event log checks whether to save.
+	eventsInterval = 2 * clock.Second
+	// purgeInterval is how often expired idle connections are closed.
+	purgeInterval = 1 * clock.Second
+	// dialTimeout bounds a new connection to a target: far above the latency between halls, and low
 	// enough to try another target.
 	dialTimeout clock.Millis = 120
-	// slotsPerCore and slotsPerMbps are how many targets' slots a node can carry: a slot has about
-	// four requests a second, of about 1 ms of processor time and 10 KB both ways.
+	// slotsPerCore and slotsPerMbps are how many targets' slots a node can serve: a slot gets about
+	// four requests a second, each of about 1 ms of processor time and 10 KB in both directions.
 	slotsPerCore = 200
 	slotsPerMbps = 2.8
 )
 
-// callersDoor is the name of the door that callers come to, and peersDoor of that for other nodes.
+// callersDoor is the name of the listener for callers, and peersDoor of that for other nodes.
 const (
 	callersDoor = "callers"
 	peersDoor   = "peers"
 )
 
-// memberTiming finds a dead node in about a second and a half, and passes it over in the
-// directory's answers after half of that.
+// memberTiming detects a dead node in about 1.5 s; the directory leaves it out of its answers after half of that.
 var memberTiming = member.Timing{
 	ProbeInterval: 400, RelayAfter: 150, SuspectAfter: 400, GoneAfter: 1500, IsolatedAfter: 2500,
 }
 
-// A Platform struct is what the node has of the platform.
+// A Platform struct holds the platform's services that the node uses.
 type Platform struct {
-	// Source makes what records are read from. It calls refused for all that it reads and cannot use.
+	// Source returns the source of records. It calls refused for each record that it reads and cannot use.
 	Source func(refused func(store.Refusal)) store.Source
 	Table  store.Table
-	// Suspects is where requests are kept under which targets crashed.
+	// Suspects stores the requests under which targets crashed.
 	Suspects store.Table
 	Objects  store.Objects
-	Speech   Speech
+	Protocol Protocol
 }
 
 // A Node struct is one process of the fleet.
@@ -75,38 +74,38 @@
 	metrics  *nodeMetrics
 	tuning   pool.Tuning
 
-	members  *member.Table
-	records  *records
-	source   store.Source
-	services *services
-	carriers *carriers
-	demand   *demand
-	duty     *duty
-	lag      *lag
-	handOn   *handOn
-	pulls    *pulls
-	compares *compares
-	packs    *packs
-	wire     *wire
-	peers    *peers
-	conns    *forward.ConnPool
-	limiter  *limiter
-	quotas   *quotas
-	ledger   *once.Ledger
-	configs  config.Log
-	writer   config.Writer
-	events   *eventLog
-	leaving  *leaving
-	watch    *memberWatch
-	traffic  *traffic
-	suspects *suspects
+	members   *member.Table
+	records   *records
+	source    store.Source
+	services  *services
+	carriers  *carriers
+	demand    *demand
+	duty      *duty
+	lag       *lag
+	handOn    *handOn
+	pulls     *pulls
+	compares  *compares
+	packs     *packs
+	wire      *wire
+	peers     *peers
+	conns     *forward.ConnPool
+	limiter   *limiter
+	quotas    *quotas
+	ledger    *once.Ledger
+	configs   config.Log
+	writer    config.Writer
+	events    *eventLog
+	leaving   *leaving
+	memberLog *memberLog
+	traffic   *traffic
+	suspects  *suspects
 
 	doors []*door.Server
 	done  chan struct{}
 }
 
-// New returns a node that listens at its addresses, and serves nobody yet. It reads the settings
-// again from the path when they change.
+// New returns a node that listens at its addresses but does not serve yet. It reloads the settings
+// from the path when they change.
 func New(s *settings.Settings, path string, p Platform, c clock.Clock, log *logs.Log) (n *Node, err error) {
 	defer func() { err = errors.Wrap(err, "new node") }()
 	n = &Node{
@@ -128,7 +127,7 @@
 	return n, n.listen()
 }
 
-// build makes the parts that need each other.
+// build creates the components that refer to each other.
 func (n *Node) build() {
 	s := n.settings()
 	self := &tlv1.Member{
@@ -155,12 +154,12 @@
 	n.events = newEventLog(n.self, n.platform.Objects, n.clock)
 	n.events.wanted = s.Node.Operators != ""
 	n.leaving = newLeaving(n)
-	n.watch = newMemberWatch(n)
+	n.memberLog = newMemberLog(n)
 	n.traffic = newTraffic(n)
 	n.metrics.gauges(n)
 }
 
-// weightOf returns how many targets' slots the node can carry.
+// weightOf returns how many targets' slots the node can serve.
 func weightOf(c settings.Capacity) uint32 {
 	return uint32(max(min(c.Cores*slotsPerCore, c.LinkMbps*slotsPerMbps), 1))
 }
@@ -187,8 +186,8 @@
 		server        *http.Server
 		rest          func() time.Duration
 	}{
-		{callersDoor, s.Callers, n.callersServer(), n.callersRest},
-		{peersDoor, s.Peers, &http.Server{Handler: n.peersDoor()}, nil},
+		{callersDoor, s.Callers, n.callersServer(), n.callersIdleTimeout},
+		{peersDoor, s.Peers, &http.Server{Handler: n.peersHandler()}, nil},
 		{"readiness", s.Readiness, &http.Server{Handler: n.readinessHandler()}, nil},
 		{"directory", s.Directory, &http.Server{Handler: n.directoryHandler()}, nil},
 		{"operators", s.Operators, &http.Server{Handler: n.operatorsDoor()}, nil},
@@ -197,7 +196,7 @@
 		if d.address == "" {
 			continue
 		}
-		d.server.ErrorLog = quietLog(n.log)
+		d.server.ErrorLog = httpErrorLog(n.log)
 		opened, err := door.Listen(d.name, d.address, d.server, d.rest)
 		if err != nil {
 			return err
@@ -221,7 +220,7 @@
 	return n.openDoors()
 }
 
-// Run serves until the context ends, then leaves without cutting a request.
+// Run serves until the context ends, then leaves the fleet without cutting a request.
 func (n *Node) Run(ctx context.Context) (err error) {
 	defer close(n.done)
 	failed := make(chan error, len(n.doors))
@@ -230,23 +229,23 @@
 	}
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	parts := n.startParts(background)
+	tasks := n.startTasks(background)
 	n.sendGossip(n.members.Join())
-	n.tellStart()
+	n.logStart()
 	select {
 	case <-ctx.Done():
 	case <-n.leaving.asked:
 	case err = <-failed:
 		n.log.WithFields(logrus.Fields{"event": "door_failed", "error": err}).Error()
 	}
-	n.leaving.run() // after a door that failed too: what the others have is not cut
+	n.leaving.run() // also after a listener failed: requests at the other listeners are not cut
 	n.close()
 	flush, stop := context.WithTimeout(background, n.leaving.left())
 	n.events.flush(flush)
 	stop()
 	cancel()
-	for _, p := range parts {
-		p.end()
+	for _, p := range tasks {
+		p.stop()
 	}
 	n.log.WithFields(logrus.Fields{"event": "stopped", "node": n.self.Node, "error": err}).Warn()
 	n.log.Close()
@@ -258,36 +257,36 @@
 	return n.done
 }
 
-// Close ends the node at once, without a word to anybody. Requests in flight are cut.
+// Close stops the node at once, without telling other nodes. Requests in flight are cut.
 func (n *Node) Close() {
 	n.close()
 }
 
-func (n *Node) startParts(ctx context.Context) []*part {
-	parts := []*part{
-		start(ctx, n.receive),
-		start(ctx, n.followSettings),
-		every(ctx, tickEvery, n.tick),
-		every(ctx, purgeEvery, func(context.Context) { n.conns.CloseExpired() }),
-		start(ctx, n.suspects.write),
+func (n *Node) startTasks(ctx context.Context) []*task {
+	tasks := []*task{
+		startTask(ctx, n.receive),
+		startTask(ctx, n.watchSettings),
+		startPeriodic(ctx, tickInterval, n.tick),
+		startPeriodic(ctx, purgeInterval, func(context.Context) { n.conns.CloseExpired() }),
+		startTask(ctx, n.suspects.write),
 	}
-	for _, k := range n.watched() {
-		parts = append(parts, start(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
+	for _, k := range n.watchedKinds() {
+		tasks = append(tasks, startTask(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
 	}
 	if n.settings().Node.Operators != "" {
-		parts = append(parts, every(ctx, eventsEvery, n.events.tick))
+		tasks = append(tasks, startPeriodic(ctx, eventsInterval, n.events.tick))
 	}
-	return parts
+	return tasks
 }
 
-// kinds are the kinds of records that the node holds.
-func (n *Node) kinds() []store.Kind {
-	return append(n.watched(), store.Evacuations)
+// allKinds returns the kinds of records that the node holds.
+func (n *Node) allKinds() []store.Kind {
+	return append(n.watchedKinds(), store.Evacuations)
 }
 
-// watched are the kinds of records that the node follows; others come with one of them. Documents are followed where
-// operators can write them.
-func (n *Node) watched() []store.Kind {
+// watchedKinds returns the kinds of records that the node follows; further kinds come with one of these. Documents are
+// followed where operators can write them.
+func (n *Node) watchedKinds() []store.Kind {
 	kinds := []store.Kind{store.State, store.Targets, store.Suspects}
 	if n.settings().Node.Operators != "" {
 		kinds = append(kinds, store.Documents)
@@ -295,7 +294,7 @@
 	return kinds
 }
 
-// tick moves on what is not driven by events.
+// tick runs the periodic work.
 func (n *Node) tick(context.Context) {
 	n.sendGossip(n.members.Tick())
 	n.peers.tick()
@@ -304,7 +303,7 @@
 	n.services.tick()
 	n.records.tick()
 	n.quotas.tick()
-	n.watch.tick()
+	n.memberLog.tick()
 	n.traffic.tick()
 	n.suspects.tick()
 	n.events.setNodes(len(n.members.Live()) + 1)
--- a/node/outgoing.go
+++ b/node/outgoing.go
@@ -116,7 +116,7 @@
 func (x *exchange) targetRequest(l *pool.Lease) *forward.Request {
 	h := x.r.Header.Clone()
 	forward.DropHopByHop(h)
-	for _, name := range nodesOnly {
+	for _, name := range nodeOnlyHeaders {
 		h.Del(name)
 	}
 	x.setWorkspace(h)
--- a/node/own.go
+++ b/node/own.go
@@ -97,7 +97,7 @@
 // repeatedHeader returns the name of a header of the fleet's own API that has several values, or "". Another reader of
 // the request could use a different one of them.
 func repeatedHeader(h http.Header) string {
-	for _, name := range ownRequest {
+	for _, name := range ownRequestHeaders {
 		if len(h[name]) > 1 {
 			return name
 		}
--- a/node/peers.go
+++ b/node/peers.go
@@ -23,62 +23,62 @@
 )
 
 const (
-	// heldTimeout bounds a question for the version of a document that another node uses.
+	// heldTimeout bounds a call for the version of a document that another node uses.
 	heldTimeout clock.Millis = 400
-	// syncPause is the least time between two comparisons that a difference asks for.
-	syncPause clock.Millis = 50
-	// mergeEvery is how often a node compares itself with another without a reason.
-	mergeEvery = 15 * clock.Second
-	// startMerges is how often it does so for startFor from its start: those that it asked first may have started with
-	// it, and know as few.
-	startMerges clock.Millis = 200
-	startFor    clock.Millis = 1500
-	// mergeMembers is how many members such a comparison brings in startMerges: more take longer, since each of as many nodes
-	// brings all of them.
-	mergeMembers = 100
-	// membersTold is how many members a node tells the one that it compares itself with.
-	membersTold = 64
-	// joinFor is how long a node that knows nobody asks all its seeds at once, again and again.
-	joinFor = 2 * clock.Second
-	// peerIdle is how long connections to other nodes are kept.
-	peerIdle = 5 * time.Second
+	// syncMinGap is the minimum time between two syncs.
+	syncMinGap clock.Millis = 50
+	// fullSyncInterval is how often a node syncs with a random one, even if no difference is known.
+	fullSyncInterval = 15 * clock.Second
+	// startupSyncInterval is how often it does so during its startupPeriod: the nodes that it asked first may have
+	// started with it, and know as little.
+	startupSyncInterval clock.Millis = 200
+	startupPeriod       clock.Millis = 1500
+	// startupSyncMembers is how many members such a sync transfers within startupSyncInterval. With more of them the
+	// interval grows in proportion, since each of as many nodes transfers all of them.
+	startupSyncMembers = 100
+	// maxMembersSent is how many members a node sends in the request of a sync.
+	maxMembersSent = 64
+	// joinPeriod is how long a node that knows no other keeps asking all its seeds at once.
+	joinPeriod = 2 * clock.Second
+	// peerIdleTimeout closes idle connections to other nodes.
+	peerIdleTimeout = 5 * time.Second
 )
 
-// syncLimits bounds a comparison with another node. An answer that keeps coming is not given up.
+// syncLimits bounds a sync with another node. A response that keeps making progress is not given up before Total.
 var syncLimits = stall.Limits{FirstByte: 400 * time.Millisecond, Idle: 400 * time.Millisecond, Total: 4 * time.Second}
 
-// peers compares this node with others: members, and records.
+// peers syncs this node with others: members and records.
 type peers struct {
 	node *Node
 	http *http.Client
 
-	mu       sync.Mutex
-	syncing  bool
-	syncedAt clock.Millis
-	mergedAt clock.Millis
-	joined   bool
-	// turnedAway says that the node that was compared with last had no room to give what this one lacks.
-	turnedAway bool
+	mu         sync.Mutex
+	syncing    bool
+	syncedAt   clock.Millis
+	fullSyncAt clock.Millis
+	joined     bool
+	// sourceBusy is whether the node of the last sync had no capacity to send what this one lacks.
+	sourceBusy bool
 }
 
 func newPeers(n *Node) *peers {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
-	t.IdleConnTimeout = peerIdle
-	c := &http.Client{Transport: &doorTransport{base: t, keys: n.keys}}
-	return &peers{node: n, http: c, mergedAt: n.clock.Now()}
+	t.IdleConnTimeout = peerIdleTimeout
+	c := &http.Client{Transport: &peerTransport{base: t, keys: n.keys}}
+	return &peers{node: n, http: c, fullSyncAt: n.clock.Now()}
 }
 
-// A doorTransport proves this node to peers.
-type doorTransport struct {
+// A peerTransport authenticates this node to peers.
+type peerTransport struct {
 	base http.RoundTripper
 	keys *keyring
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *doorTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *peerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
-	r.Header.Set(HeaderPeerKey, t.keys.doorKey())
+	r.Header.Set(HeaderPeerKey, t.keys.peerKey())
 	res, err := t.base.RoundTrip(r)
 	if g, found := r.Context().Value(guardKey{}).(*stall.Guard); found && err == nil {
 		res.Body = g.Body(res.Body)
@@ -86,22 +86,22 @@
 	return res, err
 }
 
-// guardKey is the key under which a call's context holds its guard.
+// guardKey is the context key of a call's guard.
 type guardKey struct{}
 
-// withGuard returns a context for a call to another node whose answer the guard watches.
+// withGuard returns a context for a call to another node whose response the guard watches.
 func withGuard(ctx context.Context, g *stall.Guard) context.Context {
 	return context.WithValue(ctx, guardKey{}, g)
 }
 
-// peersDoor serves other nodes only.
-func (n *Node) peersDoor() http.Handler {
+// peersHandler serves other nodes only.
+func (n *Node) peersHandler() http.Handler {
 	m := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	path, h := tinladderv1connect.NewFleetServiceHandler(n.peers, connect.WithCompressMinBytes(math.MaxInt32)) // what is large is packed
+	path, h := tinladderv1connect.NewFleetServiceHandler(n.peers, connect.WithCompressMinBytes(math.MaxInt32)) // large responses are compressed as packs
 	m.PathPrefix(path).Handler(h)
 	m.PathPrefix("/").HandlerFunc(n.serveForPeer)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !n.keys.opensDoor(r.Header.Get(HeaderPeerKey)) {
+		if !n.keys.acceptsPeerKey(r.Header.Get(HeaderPeerKey)) {
 			http.Error(w, "peers only", http.StatusForbidden)
 			return
 		}
@@ -109,8 +109,8 @@
 	})
 }
 
-// Sync implements the service that other nodes call. The desired state, evacuations and members go to all that ask; other
-// records and reports, which are many, to as many as this node has room for.
+// Sync implements FleetService. The desired state, evacuations and members are sent to all that ask; other records and
+// reports, which are many, as far as this node has capacity for them.
 func (p *peers) Sync(_ context.Context, req *connect.Request[tlv1.SyncRequest]) (*connect.Response[tlv1.SyncResponse], error) {
 	n := p.node
 	n.members.Merge(req.Msg.GetMembers())
@@ -132,17 +132,17 @@
 	if !req.Msg.GetRecordsOnly() {
 		rest.Members = unknownTo(n.members.All(), req.Msg.GetKnown())
 	}
-	given := p.giveMany(req.Msg, rest, res)
+	given := p.addBulk(req.Msg, rest, res)
 	if rest != res {
-		p.pack(rest, res)
+		p.addCompressed(rest, res)
 	}
 	n.metrics.syncServed(len(res.Records) > 0 || given, proto.Size(res))
 	return connect.NewResponse(res), nil
 }
 
-// giveMany adds reports, and records of the kinds of which there are many, as far as this node has room for them: to the
-// rest, or whole sets as packs.
-func (p *peers) giveMany(req *tlv1.SyncRequest, rest, res *tlv1.SyncResponse) (given bool) {
+// addBulk adds reports, and records of the kinds with many of them, as far as this node has capacity: to rest, or
+// whole sets as packs to res.
+func (p *peers) addBulk(req *tlv1.SyncRequest, rest, res *tlv1.SyncResponse) (given bool) {
 	n := p.node
 	if !req.GetRecordsOnly() {
 		n.compares.give(func() (made, sent int) {
@@ -156,12 +156,12 @@
 		switch {
 		case k == store.State || k == store.Evacuations || !p.differs(theirs):
 		case !req.GetPacks():
-			given = p.giveRecords(k, theirs, rest) || given
+			given = p.addDiff(k, theirs, rest) || given
 		default:
 			after, many := n.packs.wanted(k, theirs)
 			if !many {
-				given = p.giveRecords(k, theirs, rest) || given
-			} else if x := p.givePack(packKey{kind: k, after: after}); x != nil {
+				given = p.addDiff(k, theirs, rest) || given
+			} else if x := p.buildPack(packKey{kind: k, after: after}); x != nil {
 				res.Packs, given = append(res.Packs, x), true
 			}
 		}
@@ -169,8 +169,8 @@
 	return given
 }
 
-// giveRecords adds the records of the parts of a set that differ to the rest of an answer, if this node has room for that.
-func (p *peers) giveRecords(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
+// addDiff adds the records of the buckets that differ to rest, if this node has capacity for that.
+func (p *peers) addDiff(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
 	n := p.node
 	return n.compares.give(func() (made, sent int) {
 		list := n.records.wire(k, n.records.sets[k].Diff(theirs.GetSums()))
@@ -180,11 +180,11 @@
 	})
 }
 
-// givePack returns many records as they are sent to a node that lacks them; nil if this node has no room for that. One that
-// carries little leaves it to those of its hall that carry the most.
-func (p *peers) givePack(key packKey) (given *tlv1.Pack) {
+// buildPack returns a pack of many records; nil if this node has no capacity for that. A node of low capacity leaves
+// this to those of its hall with high capacity.
+func (p *peers) buildPack(key packKey) (given *tlv1.Pack) {
 	n := p.node
-	if !n.isStrong(n.members.Self()) {
+	if !n.hasHighCapacity(n.members.Self()) {
 		return nil
 	}
 	n.compares.give(func() (made, sent int) {
@@ -203,12 +203,12 @@
 	return given
 }
 
-// leastSmall is how many bytes an answer must have to be compressed.
-const leastSmall = 1 << 10
+// minCompressBytes is the size from which a response is compressed.
+const minCompressBytes = 1 << 10
 
-// pack adds the rest of an answer to it, compressed if that is worth it.
-func (p *peers) pack(rest, res *tlv1.SyncResponse) {
-	if proto.Size(rest) >= leastSmall {
+// addCompressed adds rest to res, compressed if it is large enough.
+func (p *peers) addCompressed(rest, res *tlv1.SyncResponse) {
+	if proto.Size(rest) >= minCompressBytes {
 		answer, _, err := packed(rest)
 		if err == nil {
 			res.Packs = append(res.Packs, &tlv1.Pack{Answer: answer})
@@ -219,8 +219,8 @@
 	res.Members, res.Reports, res.Records = rest.Members, rest.Reports, append(res.Records, rest.Records...)
 }
 
-// isStrong says whether the member carries at least half of what the one of its hall does that carries the most.
-func (n *Node) isStrong(m *tlv1.Member) bool {
+// hasHighCapacity reports whether the member has at least half the capacity of the largest one of its hall.
+func (n *Node) hasHighCapacity(m *tlv1.Member) bool {
 	most := n.members.Self().GetWeight()
 	for _, o := range n.members.Live() {
 		if hallOf(o) == hallOf(m) {
@@ -230,8 +230,8 @@
 	return 2*m.GetWeight() >= most
 }
 
-// strongNode returns a node of this hall by chance that carries much; nil if there is none.
-func (n *Node) strongNode() *tlv1.Member {
+// highCapacityNode returns a random node of this hall with high capacity; nil if there is none.
+func (n *Node) highCapacityNode() *tlv1.Member {
 	var most uint32
 	var strong []*tlv1.Member
 	for _, m := range n.members.Live() {
@@ -250,14 +250,14 @@
 	return strong[rand.IntN(len(strong))]
 }
 
-// differs says whether this node holds other records of a kind than the one that asks.
+// differs reports whether this node holds other records of a kind than the node that asks.
 func (p *peers) differs(theirs *tlv1.KindSum) bool {
 	set := p.node.records.sets[store.Kind(theirs.GetKind())]
 	return set != nil && set.Sum() != theirs.GetSum()
 }
 
-// sendsState says whether the state goes with a comparison: to a node that holds an older one, if it is small
-// or the node cannot ask for it.
+// sendsState reports whether the state is part of a sync: for a node that holds an older one, if it is small
+// or the node cannot pull it.
 func (p *peers) sendsState(theirs *tlv1.KindSum, pulls bool) bool {
 	r := p.node.records
 	if theirs.GetNewest() >= r.sets[store.State].Newest() {
@@ -266,8 +266,8 @@
 	return !pulls || r.stateSize() <= wholeRecord
 }
 
-// met compares this node with the first other one that it hears from.
-func (p *peers) met(m *tlv1.Member) {
+// syncOnFirstContact syncs this node with the first other one that it hears from.
+func (p *peers) syncOnFirstContact(m *tlv1.Member) {
 	p.mu.Lock()
 	joined := p.joined
 	p.mu.Unlock()
@@ -276,23 +276,23 @@
 	}
 }
 
-// lonely says whether this node has met no other one, though its settings name some.
-func (p *peers) lonely() bool {
+// isAlone reports whether this node has had no sync with another, though its settings name other seeds.
+func (p *peers) isAlone() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.node.settings().Node.PeersAddress()
 	return !p.joined && slices.ContainsFunc(p.node.settings().Fleet.Seeds, func(a string) bool { return a != self })
 }
 
-// tick looks for others until there are any, and then compares this node with one now and then.
+// tick joins the fleet until there are other nodes, and then syncs with a random one at intervals.
 func (p *peers) tick() {
 	now := p.node.clock.Now()
 	p.mu.Lock()
-	joining := !p.joined && now-p.node.duty.since < joinFor
-	pause := startMerges * clock.Millis(max(1, len(p.node.members.Live())/mergeMembers))
-	due := now-p.mergedAt >= mergeEvery || now-p.node.duty.since < startFor+pause && now-p.mergedAt >= pause
+	joining := !p.joined && now-p.node.duty.startedAt < joinPeriod
+	pause := startupSyncInterval * clock.Millis(max(1, len(p.node.members.Live())/startupSyncMembers))
+	due := now-p.fullSyncAt >= fullSyncInterval || now-p.node.duty.startedAt < startupPeriod+pause && now-p.fullSyncAt >= pause
 	if due {
-		p.mergedAt = now
+		p.fullSyncAt = now
 	}
 	p.mu.Unlock()
 	if joining {
@@ -301,32 +301,32 @@
 	if !due {
 		return
 	}
-	if live := p.node.someNodes(); len(live) > 0 {
+	if live := p.node.randomNodes(); len(live) > 0 {
 		p.sync(live[0].GetPeerAddress(), true)
 	}
 }
 
-// sync compares this node with the one at the address, in the background, one at a time: records, and on
-// the whole members and reports too.
-func (p *peers) sync(address string, whole bool) {
+// sync syncs this node with the one at the address, in the background, one at a time: records, and if full
+// also members and reports.
+func (p *peers) sync(address string, full bool) {
 	now := p.node.clock.Now()
 	p.mu.Lock()
-	if p.syncing || now-p.syncedAt < syncPause {
+	if p.syncing || now-p.syncedAt < syncMinGap {
 		p.mu.Unlock()
 		return
 	}
 	p.syncing, p.syncedAt = true, now
-	whole = whole || !p.joined
-	elsewhere := p.turnedAway && !whole
-	p.turnedAway = false
+	full = full || !p.joined
+	elsewhere := p.sourceBusy && !full
+	p.sourceBusy = false
 	p.mu.Unlock()
 	if elsewhere {
-		if m := p.node.strongNode(); m != nil {
+		if m := p.node.highCapacityNode(); m != nil {
 			address = m.GetPeerAddress()
 		}
 	}
 	go func() {
-		ok := p.syncWith(address, whole)
+		ok := p.syncWith(address, full)
 		p.mu.Lock()
 		p.syncing = false
 		p.joined = p.joined || ok
@@ -334,21 +334,21 @@
 	}()
 }
 
-func (p *peers) syncWith(address string, whole bool) bool {
+func (p *peers) syncWith(address string, full bool) bool {
 	n := p.node
 	ctx, guard := stall.Watch(context.Background(), syncLimits)
 	defer guard.Close()
 	begun := n.clock.Now()
-	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !whole, Pulls: true, Packs: true, Services: n.services.needed()}
+	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !full, Pulls: true, Packs: true, Services: n.services.needed()}
 	for _, s := range req.Kinds {
 		if k := store.Kind(s.GetKind()); k != store.State {
 			s.Sums = n.records.sets[k].BucketSums()
 		}
 	}
-	if whole {
+	if full {
 		req.Members = n.members.All()
 		req.Known = hashes(req.Members)
-		req.Members = req.Members[:min(len(req.Members), membersTold)] // the first is this node; others ask for the rest
+		req.Members = req.Members[:min(len(req.Members), maxMembersSent)] // the first is this node; the peer asks others for the rest
 	}
 	c := tinladderv1connect.NewFleetServiceClient(p.http, "http://"+address)
 	res, err := c.Sync(withGuard(ctx, guard), connect.NewRequest(req))
@@ -362,20 +362,20 @@
 	}
 	n.duty.proof.ObserveLatest(begun, clock.Millis(res.Msg.GetStoreNow()))
 	n.quotas.known.observe(int(res.Msg.GetKnown()), n.clock.Now())
-	records := p.takeParts(res.Msg, address)
+	records := p.mergeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
 		n.records.hear(r, address)
 	}
-	if !n.duty.hearKinds(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
+	if !n.duty.mergeKindSums(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
 		p.mu.Lock()
-		p.turnedAway = true
+		p.sourceBusy = true
 		p.mu.Unlock()
 	}
 	return true
 }
 
-// takeParts takes in the members and reports of an answer and of its packs, and returns the records of all.
-func (p *peers) takeParts(res *tlv1.SyncResponse, address string) (records []*tlv1.Records) {
+// mergeParts merges the members and reports of a response and of its packs, and returns the records of all.
+func (p *peers) mergeParts(res *tlv1.SyncResponse, address string) (records []*tlv1.Records) {
 	n := p.node
 	parts := []*tlv1.SyncResponse{res}
 	for _, x := range res.GetPacks() {
@@ -399,18 +399,18 @@
 }
 
 // inOrder puts a first state behind the records that came with it: requests wait for it, and would find no targets. A
-// newer state comes first, as it was sent.
+// newer state stays first.
 func (p *peers) inOrder(list []*tlv1.Records) []*tlv1.Records {
 	if p.node.records.table.Load() == nil {
 		slices.SortStableFunc(list, func(a, b *tlv1.Records) int {
-			return cmp.Compare(stateLast(a), stateLast(b))
+			return cmp.Compare(recordsOrder(a), recordsOrder(b))
 		})
 	}
 	return list
 }
 
-// stateLast is the place of records of a kind: those of the state have the last.
-func stateLast(r *tlv1.Records) int {
+// recordsOrder is the sort key of records of a kind: those of the state are last.
+func recordsOrder(r *tlv1.Records) int {
 	if store.Kind(r.GetKind()) == store.State {
 		return 1
 	}
@@ -429,7 +429,7 @@
 	return &tlv1.InForce{Node: m.GetNode(), Version: res.Msg.GetVersion(), Reached: true}
 }
 
-// Held implements the service that other nodes call.
+// Held implements FleetService.
 func (p *peers) Held(_ context.Context, req *connect.Request[tlv1.HeldRequest]) (*connect.Response[tlv1.HeldResponse], error) {
 	v := p.node.held(ident.Key(req.Msg.GetKey())).GetVersion()
 	return connect.NewResponse(&tlv1.HeldResponse{Version: v}), nil
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -10,15 +10,15 @@
 
 var measureStart = flag.Bool("start", false, "measure what fleets of several sizes send each other as they start")
 
-// TestMeasureStart starts fleets of several sizes while their targets register, ten for each node, and tells what a node sends
-// in the first 5 s, by kind of message.
+// TestMeasureStart starts fleets of several sizes while their targets register, ten for each node, and logs how many bytes a
+// node sends in the first 5 s, by kind of message.
 func TestMeasureStart(t *testing.T) {
 	if !*measureStart {
 		t.Skip("a measurement; run with -start")
 	}
 	for _, nodes := range []int{30, 60, 120} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			f := &fleet{via: func(s string) string { return s }, more: func(i int) string {
+			f := &fleet{via: func(s string) string { return s }, extraSettings: func(i int) string {
 				cores := 0.16
 				if i < nodes/20 {
 					cores = 1.6
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -119,7 +119,7 @@
 		}
 		if err == nil {
 			s.list.MarkStored(p)
-			s.node.duty.look(store.Suspects)
+			s.node.duty.readNow(store.Suspects)
 		}
 		return err
 	}
@@ -139,7 +139,7 @@
 			if !s.writeAll(ctx, list) {
 				wait += awayPause
 			}
-			if !pause(ctx, wait) {
+			if !sleep(ctx, wait) {
 				return
 			}
 		}
@@ -149,7 +149,7 @@
 // writeAll writes the rows of the requests, and says whether the store took them all.
 func (s *suspects) writeAll(ctx context.Context, list []quarantine.Fingerprint) bool {
 	for _, p := range list {
-		one, cancel := context.WithTimeout(ctx, lookTimeout.Duration())
+		one, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 		err := s.save(one, p, 0)
 		cancel()
 		switch {
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -11,27 +11,27 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// wokenClock is a node's clock, which goes on by what its machine was suspended.
-type wokenClock struct {
+// resumedClock is a node's clock, ahead by the time that its machine was suspended.
+type resumedClock struct {
 	clock.Clock
-	slept atomic.Int64
+	suspended atomic.Int64
 }
 
 // Now implements clock.Clock.
-func (c *wokenClock) Now() clock.Millis {
-	return c.Clock.Now() + clock.Millis(c.slept.Load())
+func (c *resumedClock) Now() clock.Millis {
+	return c.Clock.Now() + clock.Millis(c.suspended.Load())
 }
 
-// TestMachineThatWakesTrustsNothingOld suspends the machine of a node for six seconds, within which a key is taken away.
-// The first request after waking comes before any word of the store: the node may not go by what it held for fresh before.
-func TestMachineThatWakesTrustsNothingOld(t *testing.T) {
+// TestResumedMachineDistrustsOldProofs revokes a key while a node's machine is suspended for six seconds. The first
+// requests after that arrive before any response of the store: the node must not use its earlier proof that the key is valid.
+func TestResumedMachineDistrustsOldProofs(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 1, func(int) string { return "revoke = \"5s\"\n" })
 	n := f.nodes[0]
 	n.stop()
 	<-n.node.Done()
-	woken := &wokenClock{Clock: f.clock}
-	n.clock = woken
+	resumed := &resumedClock{Clock: f.clock}
+	n.clock = resumed
 	f.start(n)
 	target := f.target("i-1", "desk")
 	f.configureKeyed(3, workspaces)
@@ -39,7 +39,7 @@
 	f.awaitKeys(shopKey)
 	n.door.SetFaults(standin.Faults{Away: standin.Reset})
 	f.configureKeyed(4, workspaces[1:])
-	woken.slept.Add(int64(6 * clock.Second))
+	resumed.suspended.Add(int64(6 * clock.Second))
 	for i := range 5 {
 		is.Equal(f.callWith(n, "/get/", fmt.Sprint("woken-", i), "Authorization", "Bearer "+shopKey).status, http.StatusServiceUnavailable)
 		is.Equal(ran(fmt.Sprint("woken-", i), target), 0)
--- a/node/traffic.go
+++ b/node/traffic.go
@@ -8,47 +8,48 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// trafficEvery is how often the log is told what this node has sent to others.
-const trafficEvery = 10 * clock.Second
+// trafficInterval is how often the bytes sent to other nodes are logged.
+const trafficInterval = 10 * clock.Second
 
-// traffic tells the log now and then how much this node sends to other nodes, by kind of message, and how often it
-// called the store. Bytes that leave the hall cost the most, so they are told apart.
+// traffic logs at intervals how much this node sends to other nodes, by kind of message, and how often it called the
+// store. Bytes that leave the hall cost the most, so they are counted separately.
 type traffic struct {
-	node *Node
-	at   clock.Millis
-	told map[peerTraffic]uint64
-	// calls are those to the store, as last told.
-	calls uint64
+	node        *Node
+	loggedAt    clock.Millis
+	loggedBytes map[peerTraffic]uint64
+	// loggedCalls are the calls to the store up to the last log line.
+	loggedCalls uint64
 }
 
 func newTraffic(n *Node) *traffic {
-	return &traffic{node: n, told: map[peerTraffic]uint64{}}
+	return &traffic{node: n, loggedBytes: map[peerTraffic]uint64{}}
 }
 
-// tick tells what was sent since the last time, if there was anything.
+// tick logs what was sent since the last time, if anything.
 func (t *traffic) tick() {
 	now := t.node.clock.Now()
-	if now-t.at < trafficEvery {
+	if now-t.loggedAt < trafficInterval {
 		return
 	}
-	t.at = now
+	t.loggedAt = now
 	f := logrus.Fields{"event": "traffic"}
 	for _, p := range allPeerTraffic() {
-		if sum := t.node.metrics.peers[p].Get(); sum > t.told[p] {
-			f[p.field()] = sum - t.told[p]
-			t.told[p] = sum
+		if sum := t.node.metrics.peers[p].Get(); sum > t.loggedBytes[p] {
+			f[p.logField()] = sum - t.loggedBytes[p]
+			t.loggedBytes[p] = sum
 		}
 	}
-	if calls := t.node.metrics.storeCalls.Get(); calls > t.calls {
-		f["store_calls"] = calls - t.calls
-		t.calls = calls
+	if calls := t.node.metrics.storeCalls.Get(); calls > t.loggedCalls {
+		f["store_calls"] = calls - t.loggedCalls
+		t.loggedCalls = calls
 	}
 	if len(f) > 1 {
 		t.node.log.WithFields(f).Info()
 	}
 }
 
-// Kinds of messages between nodes. Of comparisons and pulls, which go over connections, the answers read count.
+// Kinds of messages between nodes. For syncs and pulls, which use connections, the bytes of the responses read are
+// counted.
 const (
 	kindGossip  = "gossip"
 	kindConfirm = "confirm"
@@ -75,15 +76,15 @@
 	return fmt.Sprintf(`tinladder_peer_bytes_total{kind=%q,far="%v"}`, p.kind, p.far)
 }
 
-// field is the name in the log.
-func (p peerTraffic) field() string {
+// logField returns the key in the log.
+func (p peerTraffic) logField() string {
 	if p.far {
 		return p.kind + "_far"
 	}
 	return p.kind + "_near"
 }
 
-// kindOfParcel names what a datagram holds.
+// kindOfParcel returns the kind of a datagram; all kinds without a name of their own count as reports.
 func kindOfParcel(p *tlv1.Parcel) string {
 	switch p.GetBody().(type) {
 	case *tlv1.Parcel_Gossip:
@@ -96,7 +97,7 @@
 	return kindReport
 }
 
-// far says whether the address is of another hall. Addresses that no live node has count as near.
+// far reports whether the address is in another hall. Addresses of no live node count as near.
 func (n *Node) far(address string) bool {
 	hall, known := n.members.HallAt(address)
 	return known && hall != string(n.hall())
--- a/node/watch.go
+++ b/node/watch.go
@@ -9,11 +9,11 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// namedInLine bounds the nodes that one line of the log names.
-const namedInLine = 8
+// maxNamesInLine is the maximum number of nodes named in one log line.
+const maxNamesInLine = 8
 
-// tellStart tells what this process is, and what it goes by.
-func (n *Node) tellStart() {
+// logStart logs this process and its main settings.
+func (n *Node) logStart() {
 	s := n.settings()
 	n.log.WithFields(logrus.Fields{
 		"event": "started", "node": n.self.Node, "process": n.self, "hall": n.hall(), "callers": s.Node.Callers,
@@ -22,19 +22,19 @@
 	}).Warn()
 }
 
-// A memberWatch tells the log of changes among the other nodes, one line for each kind of change.
-type memberWatch struct {
+// A memberLog logs changes among the other nodes, one line for each kind of change.
+type memberLog struct {
 	node    *Node
 	version uint64
 	known   map[ident.Process]string
 }
 
-func newMemberWatch(n *Node) *memberWatch {
-	return &memberWatch{node: n, known: map[ident.Process]string{}}
+func newMemberLog(n *Node) *memberLog {
+	return &memberLog{node: n, known: map[ident.Process]string{}}
 }
 
-// tick compares the nodes with those that were there when last looked at.
-func (w *memberWatch) tick() {
+// tick logs the changes since the last call.
+func (w *memberLog) tick() {
 	v := w.node.members.Version()
 	if v == w.version {
 		return
@@ -44,7 +44,7 @@
 	changes := map[string][]string{}
 	for _, m := range w.node.members.Live() {
 		p := processOf(m)
-		now[p] = standing(m)
+		now[p] = memberStateName(m)
 		if w.known[p] != now[p] {
 			changes[now[p]] = append(changes[now[p]], m.GetNode())
 		}
@@ -57,13 +57,13 @@
 	w.known = now
 	for what, names := range changes {
 		w.node.log.WithFields(logrus.Fields{
-			"event": "member_" + what, "nodes": namesInLine(names), "count": len(names), "live": len(now), "version": v,
+			"event": "member_" + what, "nodes": joinNames(names), "count": len(names), "live": len(now), "version": v,
 		}).Info()
 	}
 }
 
-// standing says how a node is held.
-func standing(m *tlv1.Member) string {
+// memberStateName returns the state of a node as logged.
+func memberStateName(m *tlv1.Member) string {
 	switch {
 	case m.GetState() == tlv1.NodeState_NODE_STATE_SUSPECT:
 		return "suspected"
@@ -73,9 +73,9 @@
 	return "alive"
 }
 
-func namesInLine(names []string) string {
-	if more := len(names) - namedInLine; more > 0 {
-		return fmt.Sprintf("%s,and_%d_more", strings.Join(names[:namedInLine], ","), more)
+func joinNames(names []string) string {
+	if more := len(names) - maxNamesInLine; more > 0 {
+		return fmt.Sprintf("%s,and_%d_more", strings.Join(names[:maxNamesInLine], ","), more)
 	}
 	return strings.Join(names, ",")
 }
--- a/node/wire.go
+++ b/node/wire.go
@@ -16,26 +16,26 @@
 
 const (
 	macSize = 16
-	// maxDatagram is the largest datagram taken. Those sent are far smaller.
+	// maxDatagram is the largest datagram accepted. Those sent are far smaller.
 	maxDatagram = 8 << 10
-	// doorContext keeps the proof for the peers' door apart from datagrams' signatures.
-	doorContext = "tinladder peers' door"
+	// peerKeyContext separates the key for peers' HTTP requests from the signatures of datagrams.
+	peerKeyContext = "tinladder peers' door"
 )
 
-// errForged says that a datagram was not signed by a peer.
-var errForged = errors.New("datagram is not signed by a peer")
+// errBadSignature is returned for a datagram that no peer signed.
+var errBadSignature = errors.New("datagram is not signed by a peer")
 
-// A keyring holds the keys that peers share. The first one signs; all are taken, so that a key
-// can be replaced without a gap. Without keys nothing is signed.
+// A keyring holds the keys that peers share. The first one signs; all are accepted, so that a key
+// can be replaced without interruption. Without keys nothing is signed.
 type keyring struct {
-	keys  [][]byte
-	doors []string
+	keys     [][]byte
+	peerKeys []string
 }
 
 func newKeyring(keys [][]byte) *keyring {
 	k := &keyring{keys: keys}
 	for _, key := range keys {
-		k.doors = append(k.doors, hex.EncodeToString(mac(key, []byte(doorContext))))
+		k.peerKeys = append(k.peerKeys, hex.EncodeToString(mac(key, []byte(peerKeyContext))))
 	}
 	return k
 }
@@ -46,7 +46,7 @@
 	return h.Sum(nil)[:macSize]
 }
 
-func (k *keyring) seal(p *tlv1.Parcel) ([]byte, error) {
+func (k *keyring) sign(p *tlv1.Parcel) ([]byte, error) {
 	body, err := proto.Marshal(p)
 	if err != nil || len(k.keys) == 0 {
 		return body, errors.Wrap(err, "encode datagram")
@@ -54,7 +54,7 @@
 	return append(mac(k.keys[0], body), body...), nil
 }
 
-func (k *keyring) open(b []byte) (*tlv1.Parcel, error) {
+func (k *keyring) verify(b []byte) (*tlv1.Parcel, error) {
 	body, err := k.body(b)
 	if err != nil {
 		return nil, err
@@ -68,27 +68,27 @@
 		return b, nil
 	}
 	if len(b) < macSize {
-		return nil, errForged
+		return nil, errBadSignature
 	}
 	for _, key := range k.keys {
 		if hmac.Equal(mac(key, b[macSize:]), b[:macSize]) {
 			return b[macSize:], nil
 		}
 	}
-	return nil, errForged
+	return nil, errBadSignature
 }
 
-// doorKey proves this node at a peer's door.
-func (k *keyring) doorKey() string {
-	if len(k.doors) == 0 {
+// peerKey authenticates this node in HTTP requests to a peer.
+func (k *keyring) peerKey() string {
+	if len(k.peerKeys) == 0 {
 		return ""
 	}
-	return k.doors[0]
+	return k.peerKeys[0]
 }
 
-func (k *keyring) opensDoor(s string) bool {
-	found := len(k.doors) == 0
-	for _, d := range k.doors {
+func (k *keyring) acceptsPeerKey(s string) bool {
+	found := len(k.peerKeys) == 0
+	for _, d := range k.peerKeys {
 		found = hmac.Equal([]byte(d), []byte(s)) || found
 	}
 	return found
@@ -115,12 +115,12 @@
 	return &wire{conn: c, keys: keys, sent: sent}, nil
 }
 
-// send is best effort, as datagrams are.
+// send sends a datagram, best effort.
 func (w *wire) send(p *tlv1.Parcel, addresses ...string) {
 	if len(addresses) == 0 {
 		return
 	}
-	b, err := w.keys.seal(p)
+	b, err := w.keys.sign(p)
 	if err != nil {
 		return
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-// receive returns the next datagram of a peer, or an error once the wire is closed.
+// receive returns the next datagram signed by a peer, or an error once the connection is closed.
 func (w *wire) receive(buf []byte) (*tlv1.Parcel, error) {
 	for {
 		n, _, err := w.conn.ReadFromUDPAddrPort(buf)
@@ -145,13 +145,13 @@
 		if err != nil {
 			continue
 		}
-		if p, err := w.keys.open(buf[:n]); err == nil {
+		if p, err := w.keys.verify(buf[:n]); err == nil {
 			return p, nil
 		}
 	}
 }
 
-// receive takes in datagrams until the wire is closed or the part is stopped.
+// receive handles datagrams until the connection is closed or the context ends.
 func (n *Node) receive(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = n.wire.conn.Close() })
 	defer stop()
@@ -161,13 +161,13 @@
 		if err != nil {
 			return
 		}
-		n.metrics.heard.Inc()
+		n.metrics.datagrams.Inc()
 		switch b := p.GetBody().(type) {
 		case *tlv1.Parcel_Gossip:
 			n.sendGossip(n.members.Receive(b.Gossip))
-			n.peers.met(b.Gossip.GetFrom())
+			n.peers.syncOnFirstContact(b.Gossip.GetFrom())
 		case *tlv1.Parcel_Confirm:
-			n.duty.hear(b.Confirm)
+			n.duty.receiveConfirm(b.Confirm)
 		case *tlv1.Parcel_Records:
 			n.records.hear(b.Records, "peer")
 		case *tlv1.Parcel_Report:
@@ -188,7 +188,7 @@
 	}
 }
 
-// gossipAddresses returns where the members hear datagrams, without those that keep rejects.
+// gossipAddresses returns the gossip addresses of the members that keep accepts.
 func gossipAddresses(members []*tlv1.Member, keep func(m *tlv1.Member) bool) []string {
 	var list []string
 	for _, m := range members {
