--- a/node/peers.go
+++ b/node/peers.go
@@ -29,10 +29,10 @@
 	syncMinGap clock.Millis = 50
 	// fullSyncInterval is how often a node syncs with a random one, even if no difference is known.
 	fullSyncInterval = 15 * clock.Second
-	// startupSyncInterval is how often it does so during its startupPeriod: the nodes that it asked first may have
+	// startupSyncInterval is how often it does so during startupSyncPeriod: the nodes that it asked first may have
 	// started with it, and know as little.
 	startupSyncInterval clock.Millis = 200
-	startupPeriod       clock.Millis = 1500
+	startupSyncPeriod   clock.Millis = 1500
 	// startupSyncMembers is how many members such a sync transfers within startupSyncInterval. With more of them the
 	// interval grows in proportion, since each of as many nodes transfers all of them.
 	startupSyncMembers = 100
@@ -290,7 +290,7 @@
 	p.mu.Lock()
 	joining := !p.joined && now-p.node.duty.startedAt < joinPeriod
 	pause := startupSyncInterval * clock.Millis(max(1, len(p.node.members.Live())/startupSyncMembers))
-	due := now-p.fullSyncAt >= fullSyncInterval || now-p.node.duty.startedAt < startupPeriod+pause && now-p.fullSyncAt >= pause
+	due := now-p.fullSyncAt >= fullSyncInterval || now-p.node.duty.startedAt < startupSyncPeriod+pause && now-p.fullSyncAt >= pause
 	if due {
 		p.fullSyncAt = now
 	}
