--- a/node/idle.go
+++ b/node/idle.go
@@ -16,10 +16,10 @@
 func (s *services) tellIdle() {
 	now := s.node.clock.Now()
 	for _, svc := range s.all() {
-		if now-svc.idleAt < idleEvery {
+		if now-svc.idleCheckedAt < idleEvery {
 			continue
 		}
-		svc.idleAt = now
+		svc.idleCheckedAt = now
 		idle, _ := svc.pool.IdleTargets()
 		if len(idle) == 0 {
 			continue
--- a/node/peers.go
+++ b/node/peers.go
@@ -339,7 +339,7 @@
 	ctx, guard := stall.Watch(context.Background(), syncLimits)
 	defer guard.Close()
 	begun := n.clock.Now()
-	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !whole, Pulls: true, Packs: true, Services: n.services.needed()}
+	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !whole, Pulls: true, Packs: true, Services: n.services.loadedServices()}
 	for _, s := range req.Kinds {
 		if k := store.Kind(s.GetKind()); k != store.State {
 			s.Sums = n.records.sets[k].BucketSums()
@@ -392,7 +392,7 @@
 	}
 	for _, part := range parts {
 		for _, r := range part.GetReports() {
-			n.services.hear(r)
+			n.services.handleReport(r)
 		}
 	}
 	return records
--- a/node/services.go
+++ b/node/services.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// nearEvery is the least time between two reports to the service's nodes in this hall, and
+	// nearReportInterval is the least time between two reports to the service's nodes in this hall, and
 	// farEvery to those in others. Failures are told at once.
-	nearEvery clock.Millis = 20
-	farEvery  clock.Millis = 500
-	// usedFor is how long after its last report a node is told of evidence on a service's targets, and mostUsers how many
+	nearReportInterval clock.Millis = 20
+	farReportInterval  clock.Millis = 500
+	// userRetention is how long after its last report a node is told of evidence on a service's targets, and mostUsers how many
 	// are besides the carriers, the busiest first: now and then a request comes to each node of the fleet, and each failure
 	// would be told to all of them.
-	usedFor   = 8 * clock.Second
-	mostUsers = 32
+	userRetention = 8 * clock.Second
+	maxUsers      = 32
 )
 
 // A service is what this node knows of one service's targets.
@@ -37,64 +37,64 @@
 	pool  *pool.Pool
 	tally tally
 
-	mu     sync.Mutex
-	nearAt clock.Millis
-	farAt  clock.Millis
-	queued bool
+	mu             sync.Mutex
+	lastNearReport clock.Millis
+	lastFarReport  clock.Millis
+	flushScheduled bool
 	// users are other nodes that were heard to use the service.
-	users map[ident.Process]use
+	users map[ident.Process]usage
 	// paces are how long the requests of each route take.
 	paces map[string]*pace
 	// carriers are the nodes that carried the service when last looked at.
 	carriers map[ident.Process]bool
 	// sharers are the nodes that carried the service of late.
 	sharers *assign.Sharers
-	// idleAt is when targets without work were last looked for; the tick alone uses it.
-	idleAt clock.Millis
-	// askedAt is when a request last came for the service, in milliseconds, and filled says that the pool has its targets.
-	askedAt atomic.Int64
-	filled  atomic.Bool
+	// idleCheckedAt is when targets without work were last looked for; the tick alone uses it.
+	idleCheckedAt clock.Millis
+	// lastRequestAt is when a request last came for the service, in milliseconds, and filled says that the pool has its targets.
+	lastRequestAt atomic.Int64
+	loaded        atomic.Bool
 }
 
-// A use is what a node last said of its requests for a service.
-type use struct {
-	at clock.Millis
-	// asked is how many of them had ended of late.
-	asked int
+// A usage is what a node last said of its requests for a service.
+type usage struct {
+	reportedAt clock.Millis
+	// requests is how many of them had ended of late.
+	requests int
 }
 
 // services holds the pools of this node.
 type services struct {
 	node *Node
-	// refreshing is held while targets are looked at.
-	refreshing sync.Mutex
-	// laid is who carries what, as of the last look at all targets; it is held with refreshing.
-	laid uint64
+	// refreshMu is held while targets are looked at.
+	refreshMu sync.Mutex
+	// lastLayout is who carries what, as of the last look at all targets; it is held with refreshing.
+	lastLayout uint64
 
 	mu     sync.Mutex
 	byName map[string]*service
-	// members is the version of the members that the targets were last looked at with.
-	members, carriers uint64
-	// sends says whether this node might send to cold targets then.
-	sends bool
+	// membersVersion is the version of the membersVersion that the targets were last looked at with.
+	membersVersion, carriersGeneration uint64
+	// maySend says whether this node might send to cold targets then.
+	maySend bool
 	// refreshedAt is when the targets were last looked at, and stale says that some have changed since.
 	refreshedAt clock.Millis
 	stale       bool
-	// none says that there were no targets then: the first ones are waited for by requests.
-	none bool
+	// noTargets says that there were no targets then: the first ones are waited for by requests.
+	noTargets bool
 	// turns are this node's places among those that try targets.
 	turns *turns
 	// most is how many nodes there were of late.
 	most peak
-	// lines bounds how many changes of belief by others' word the log is told of one by one.
-	lines *logs.Limiter
+	// peerBeliefLines bounds how many changes of belief by others' word the log is told of one by one.
+	peerBeliefLines *logs.Limiter
 }
 
-// toldBeliefs is the most changes of belief by others' word in a second that are told of one by one.
-const toldBeliefs = 16
+// maxPeerBeliefLines is the most changes of belief by others' word in a second that are told of one by one.
+const maxPeerBeliefLines = 16
 
 func newServices(n *Node) *services {
-	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), lines: logs.NewLimiter(n.clock, toldBeliefs)}
+	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), peerBeliefLines: logs.NewLimiter(n.clock, maxPeerBeliefLines)}
 }
 
 // get returns the service that a request is for, making it if there is none, with its targets.
@@ -105,43 +105,43 @@
 		svc = s.add(name)
 	}
 	s.mu.Unlock()
-	svc.askedAt.Store(int64(s.node.clock.Now()))
-	if !svc.filled.Load() {
-		s.refreshing.Lock()
-		defer s.refreshing.Unlock()
-		if !svc.filled.Load() {
-			s.fill(svc, s.targets(s.known(), map[string]bool{name: true})[name])
+	svc.lastRequestAt.Store(int64(s.node.clock.Now()))
+	if !svc.loaded.Load() {
+		s.refreshMu.Lock()
+		defer s.refreshMu.Unlock()
+		if !svc.loaded.Load() {
+			s.load(svc, s.poolTargets(s.knownTargets(), map[string]bool{name: true})[name])
 		}
 	}
 	return svc
 }
 
-// fill gives the service's pool its targets.
-func (s *services) fill(svc *service, targets []pool.Target) {
+// load gives the service's pool its targets.
+func (s *services) load(svc *service, targets []pool.Target) {
 	svc.pool.SetFloor(int(s.node.records.book.Load().services[svc.name].GetService().GetFloorSlots()))
 	svc.pool.SetTargets(targets)
-	svc.filled.Store(true)
+	svc.loaded.Store(true)
 }
 
-// keepFor is how long a node that does not carry a service keeps its targets ready after a request for it: as long as callers
+// poolRetention is how long a node that does not carry a service keeps its targets ready after a request for it: as long as callers
 // that were sent here may come. Now and then a request comes to each node of the fleet, and what changes would cost them all.
-const keepFor = 5 * clock.Second
+const poolRetention = 5 * clock.Second
 
-// needs says whether this node holds the service's targets ready: it carries the service, or was asked for it of late. The
+// needsTargets says whether this node holds the service's targets ready: it carries the service, or was asked for it of late. The
 // others of a hall, which are most, hold the records alone.
-func (s *services) needs(svc *service) bool {
-	at := clock.Millis(svc.askedAt.Load())
-	return at > 0 && s.node.clock.Now()-at < keepFor || s.node.carriers.carries(svc.name)
+func (s *services) needsTargets(svc *service) bool {
+	at := clock.Millis(svc.lastRequestAt.Load())
+	return at > 0 && s.node.clock.Now()-at < poolRetention || s.node.carriers.carries(svc.name)
 }
 
 // add makes a service with the targets that are known. The caller holds the lock.
 func (s *services) add(name string) *service {
 	n := s.node
 	r := n.settings().Retries
-	svc := &service{name: name, users: map[ident.Process]use{}, paces: map[string]*pace{}, sharers: assign.NewSharers()}
+	svc := &service{name: name, users: map[ident.Process]usage{}, paces: map[string]*pace{}, sharers: assign.NewSharers()}
 	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slack(svc, true), r.Window.Millis())
 	svc.pool = pool.New(n.tuning, n.clock, newRand(), b, func(w pool.ChangeKind, of ident.Hall) { s.report(svc, w, of) },
-		func(e pool.Event) { s.note(svc, e) })
+		func(e pool.Event) { s.recordEvent(svc, e) })
 	s.byName[name] = svc
 	return svc
 }
@@ -177,8 +177,8 @@
 	return list
 }
 
-// known returns all targets that registered themselves or that documents name.
-func (s *services) known() []target {
+// knownTargets returns all targets that registered themselves or that documents name.
+func (s *services) knownTargets() []target {
 	registered, named := s.node.records.targets(), s.node.records.book.Load().targets()
 	if len(named) == 0 {
 		return registered
@@ -186,12 +186,12 @@
 	return slices.Concat(registered, named)
 }
 
-// targets returns the targets of the services named, of those known, as pools take them; nil stands for all services.
-func (s *services) targets(known []target, only map[string]bool) map[string][]pool.Target {
+// poolTargets returns the poolTargets of the services named, of those known, as pools take them; nil stands for all services.
+func (s *services) poolTargets(known []target, only map[string]bool) map[string][]pool.Target {
 	byService := map[string][]pool.Target{}
 	halls := s.node.carriers.halls()
 	carried := map[string]bool{}
-	for _, name := range s.named() {
+	for _, name := range s.serviceNames() {
 		carried[name] = s.node.carriers.carries(name)
 	}
 	s.turns.begin(s.node.carriers)
@@ -201,55 +201,55 @@
 			continue
 		}
 		near := t.hall == s.node.hall()
-		turn := -1
+		trialRank := -1
 		if carried[t.service] && (near || !slices.Contains(halls, t.hall)) {
-			turn = s.turns.of(t, near)
+			trialRank = s.turns.of(t, near)
 		}
-		until, rate := place.cold(t, turn)
+		until, rate := place.cold(t, trialRank)
 		byService[t.service] = append(byService[t.service], pool.Target{
 			ID: t.id, Address: t.address, Slots: t.slots, Leaving: t.leaving, WarmAt: max(t.warmAt, until), Life: t.life,
-			Hall: t.hall, SameHall: near, OtherRegion: s.node.isAbroad(t.hall), Assigned: turn >= 0, TrialRank: max(turn, 0),
+			Hall: t.hall, SameHall: near, OtherRegion: s.node.isAbroad(t.hall), Assigned: trialRank >= 0, TrialRank: max(trialRank, 0),
 			Evacuated: place.evacuations[t.hall].inForce, WarmupUntil: until, WarmupRate: rate,
 		})
 	}
 	return byService
 }
 
-// refreshPause is the least time between two looks at all targets because some changed: while a fleet starts, thousands
+// minRefreshInterval is the least time between two looks at all targets because some changed: while a fleet starts, thousands
 // of records come eight to a datagram, and a look costs time by the number of targets.
-const refreshPause clock.Millis = 100
+const minRefreshInterval clock.Millis = 100
 
 // targetsChanged takes over the targets that are known now, at once or, if that was just done, soon.
 func (s *services) targetsChanged() {
 	s.mu.Lock()
 	now := s.node.clock.Now()
-	wait := now-s.refreshedAt < refreshPause && !s.none
+	wait := now-s.refreshedAt < minRefreshInterval && !s.noTargets
 	s.stale = true
 	s.mu.Unlock()
 	if !wait {
-		s.refreshTouched()
+		s.refreshChanged()
 	}
 }
 
 // refresh takes over the targets that are known now, of all services.
 func (s *services) refresh() {
-	s.refreshing.Lock()
-	defer s.refreshing.Unlock()
+	s.refreshMu.Lock()
+	defer s.refreshMu.Unlock()
 	s.node.records.touchedServices()
-	s.refreshOf(nil)
+	s.refreshServices(nil)
 }
 
-// refreshTouched does the same of the services whose targets have changed, as long as members and carriers are those
+// refreshChanged does the same of the services whose targets have changed, as long as members and carriers are those
 // that all were last looked at with.
-func (s *services) refreshTouched() {
-	s.refreshing.Lock()
-	defer s.refreshing.Unlock()
-	s.refreshOf(s.node.records.touchedServices())
+func (s *services) refreshChanged() {
+	s.refreshMu.Lock()
+	defer s.refreshMu.Unlock()
+	s.refreshServices(s.node.records.touchedServices())
 }
 
-// refreshOf takes over the targets of the services named; nil stands for all. The caller holds the lock, so that of two
+// refreshServices takes over the targets of the services named; nil stands for all. The caller holds the lock, so that of two
 // looks at the targets the later one stays.
-func (s *services) refreshOf(touched map[string]bool) {
+func (s *services) refreshServices(touched map[string]bool) {
 	s.mu.Lock()
 	s.refreshedAt, s.stale = s.node.clock.Now(), false
 	s.mu.Unlock()
@@ -259,14 +259,14 @@
 		count++
 	}
 	s.mu.Lock()
-	s.none = count == 0
+	s.noTargets = count == 0
 	s.mu.Unlock()
 	s.node.carriers.setSlots(slots)
-	if laid := s.layout(); laid != s.laid { // whose part a target is depends on it
-		touched, s.laid = nil, laid
+	if laid := s.layoutHash(); laid != s.lastLayout { // whose part a target is depends on it
+		touched, s.lastLayout = nil, laid
 	}
 	s.mu.Lock()
-	for _, name := range s.named() {
+	for _, name := range s.serviceNames() {
 		if s.byName[name] == nil {
 			s.add(name)
 		}
@@ -275,21 +275,21 @@
 	needed := map[string]bool{}
 	for _, svc := range s.all() {
 		switch {
-		case s.needs(svc):
-			if touched == nil || touched[svc.name] || !svc.filled.Load() {
+		case s.needsTargets(svc):
+			if touched == nil || touched[svc.name] || !svc.loaded.Load() {
 				needed[svc.name] = true
 			}
-		case svc.filled.Swap(false):
+		case svc.loaded.Swap(false):
 			svc.pool.SetTargets(nil)
 		}
 	}
 	if len(needed) == 0 {
 		return
 	}
-	targets := s.targets(s.known(), needed)
+	targets := s.poolTargets(s.knownTargets(), needed)
 	for _, svc := range s.all() {
 		if needed[svc.name] {
-			s.fill(svc, targets[svc.name])
+			s.load(svc, targets[svc.name])
 		}
 	}
 }
@@ -298,7 +298,7 @@
 func (s *services) count() (targets int) {
 	held := map[string]bool{}
 	for _, svc := range s.all() {
-		if svc.filled.Load() {
+		if svc.loaded.Load() {
 			held[svc.name] = true
 			targets += svc.pool.Stats().Targets
 		}
@@ -307,7 +307,7 @@
 		_, registered := s.node.records.targetSlots()
 		return registered + len(s.node.records.book.Load().targets())
 	}
-	for _, t := range s.known() {
+	for _, t := range s.knownTargets() {
 		if !held[t.service] {
 			targets++
 		}
@@ -315,14 +315,14 @@
 	return targets
 }
 
-// layout sums up who carries what, in which halls, and whether this node sends to cold targets: with the same, targets that
+// layoutHash sums up who carries what, in which halls, and whether this node sends to cold targets: with the same, targets that
 // have not changed are used as before.
-func (s *services) layout() uint64 {
+func (s *services) layoutHash() uint64 {
 	x := xxhash.New()
 	for _, h := range s.node.carriers.halls() {
 		_, _ = x.WriteString(string(h) + "\x00")
 	}
-	for _, name := range slices.Sorted(slices.Values(s.named())) {
+	for _, name := range slices.Sorted(slices.Values(s.serviceNames())) {
 		_, _ = x.WriteString(name + "\x01")
 		for _, m := range s.node.carriers.all(name) {
 			_, _ = x.WriteString(m.GetNode() + "\x00")
@@ -334,15 +334,15 @@
 	return x.Sum64()
 }
 
-// relaid says whether targets are to be used in another way than at the last look at all of them.
-func (s *services) relaid() bool {
-	s.refreshing.Lock()
-	defer s.refreshing.Unlock()
-	return s.layout() != s.laid
+// layoutChanged says whether targets are to be used in another way than at the last look at all of them.
+func (s *services) layoutChanged() bool {
+	s.refreshMu.Lock()
+	defer s.refreshMu.Unlock()
+	return s.layoutHash() != s.lastLayout
 }
 
-// named returns the services that the desired state and the documents name.
-func (s *services) named() []string {
+// serviceNames returns the services that the desired state and the documents name.
+func (s *services) serviceNames() []string {
 	names := slices.Collect(maps.Keys(s.node.records.book.Load().services))
 	if t := s.node.records.table.Load(); t != nil {
 		names = slices.AppendSeq(names, maps.Keys(t.Services))
@@ -355,24 +355,24 @@
 func (s *services) report(svc *service, w pool.ChangeKind, of ident.Hall) {
 	now := s.node.clock.Now()
 	svc.mu.Lock()
-	if wait := nearEvery - (now - svc.nearAt); w == pool.LocalLoad && wait > 0 {
-		if !svc.queued {
-			svc.queued = true
+	if wait := nearReportInterval - (now - svc.lastNearReport); w == pool.LocalLoad && wait > 0 {
+		if !svc.flushScheduled {
+			svc.flushScheduled = true
 			time.AfterFunc(wait.Duration(), func() { s.flush(svc) })
 		}
 		svc.mu.Unlock()
 		return
 	}
-	to := carriersNear
+	to := sameHallCarriers
 	switch {
 	case w == pool.HealthEvidence:
-		to, svc.farAt = allUsers, now
-	case now-svc.farAt >= farEvery:
-		to, svc.farAt = carriersAll, now
+		to, svc.lastFarReport = allUsers, now
+	case now-svc.lastFarReport >= farReportInterval:
+		to, svc.lastFarReport = allCarriers, now
 	case w == pool.RemoteLoad:
-		to = carriersOf
+		to = targetHallCarriers
 	}
-	svc.nearAt = now
+	svc.lastNearReport = now
 	svc.mu.Unlock()
 	s.send(svc, to, of)
 }
@@ -382,12 +382,12 @@
 
 // Audiences, each with the ones before it.
 const (
-	// carriersNear are the nodes of this hall that carry the service.
-	carriersNear audience = iota
-	// carriersOf are those of a target's hall: whoever else uses it learns of its load now and then.
-	carriersOf
-	// carriersAll are those of all halls.
-	carriersAll
+	// sameHallCarriers are the nodes of this hall that carry the service.
+	sameHallCarriers audience = iota
+	// targetHallCarriers are those of a target's hall: whoever else uses it learns of its load now and then.
+	targetHallCarriers
+	// allCarriers are those of all halls.
+	allCarriers
 	// allUsers are all nodes that used the service of late.
 	allUsers
 )
@@ -395,7 +395,7 @@
 // flush sends what waited to be told.
 func (s *services) flush(svc *service) {
 	svc.mu.Lock()
-	svc.queued = false
+	svc.flushScheduled = false
 	svc.mu.Unlock()
 	s.report(svc, pool.LocalLoad, s.node.hall())
 }
@@ -406,12 +406,12 @@
 	if r == nil {
 		return
 	}
-	s.sign(svc, r)
+	s.setSender(svc, r)
 	members := n.carriers.near(svc.name)
 	switch to {
-	case carriersOf:
+	case targetHallCarriers:
 		members = slices.Concat(members, n.carriers.inHall(n.carriers.groupOf(svc.name), of))
-	case carriersAll:
+	case allCarriers:
 		members = n.carriers.all(svc.name)
 	case allUsers:
 		members = s.withUsers(svc, n.carriers.all(svc.name))
@@ -431,15 +431,15 @@
 	svc.mu.Lock()
 	for p, u := range svc.users {
 		switch {
-		case now-u.at > usedFor:
+		case now-u.reportedAt > userRetention:
 			delete(svc.users, p)
 		case !carry[p]:
-			asked[p] = u.asked
+			asked[p] = u.requests
 		}
 	}
 	svc.mu.Unlock()
 	list := slices.Clone(carriers)
-	for _, p := range assign.Busiest(asked, mostUsers) {
+	for _, p := range assign.Busiest(asked, maxUsers) {
 		if m := s.node.members.Get(p.Node); m != nil && processOf(m) == p {
 			list = append(list, m)
 		}
@@ -447,22 +447,22 @@
 	return list
 }
 
-func (s *services) sign(svc *service, r *tlv1.Report) {
+func (s *services) setSender(svc *service, r *tlv1.Report) {
 	r.Node, r.Incarnation, r.Service = string(s.node.self.Node), uint64(s.node.self.Incarnation), svc.name
 }
 
-// refreshLoad tells other nodes now and then of requests that have been in flight for long.
-func (s *services) refreshLoad() {
+// reportLoads tells other nodes now and then of requests that have been in flight for long.
+func (s *services) reportLoads() {
 	now := s.node.clock.Now()
 	for _, svc := range s.all() {
 		svc.mu.Lock()
-		due := now-svc.farAt >= farEvery
+		due := now-svc.lastFarReport >= farReportInterval
 		if due {
-			svc.farAt = now
+			svc.lastFarReport = now
 		}
 		svc.mu.Unlock()
 		if due {
-			s.send(svc, carriersAll, s.node.hall())
+			s.send(svc, allCarriers, s.node.hall())
 		}
 	}
 }
@@ -472,24 +472,24 @@
 	s.mu.Lock()
 	v, g := s.node.members.Version(), s.node.carriers.changes()
 	sends := s.node.coldView().MaySend()
-	changed, stale := v != s.members || g != s.carriers || sends != s.sends, s.stale
-	s.members, s.carriers, s.sends = v, g, sends
+	changed, stale := v != s.membersVersion || g != s.carriersGeneration || sends != s.maySend, s.stale
+	s.membersVersion, s.carriersGeneration, s.maySend = v, g, sends
 	s.mu.Unlock()
-	s.refreshLoad()
-	s.tellSums()
+	s.reportLoads()
+	s.logSummaries()
 	s.tellIdle()
 	s.wake()
 	s.deal()
 	switch {
 	case changed:
-		if s.relaid() {
+		if s.layoutChanged() {
 			s.refresh()
 		} else if stale {
-			s.refreshTouched()
+			s.refreshChanged()
 		}
-		s.welcome()
+		s.reportToNewCarriers()
 	case stale:
-		s.refreshTouched()
+		s.refreshChanged()
 	}
 }
 
@@ -500,10 +500,10 @@
 	}
 }
 
-// tellSums tells the log of the requests of each service now and then, and of what was not told one by one.
-func (s *services) tellSums() {
+// logSummaries tells the log of the requests of each service now and then, and of what was not told one by one.
+func (s *services) logSummaries() {
 	now := s.node.clock.Now()
-	if more := s.lines.TakeSuppressed(); more > 0 {
+	if more := s.peerBeliefLines.TakeSuppressed(); more > 0 {
 		s.node.log.WithFields(logrus.Fields{"event": "target_beliefs", "count": more, "by": "peers"}).Info()
 	}
 	for _, svc := range s.all() {
@@ -515,9 +515,9 @@
 	}
 }
 
-// welcome tells nodes that have come to carry a service all that this one knows of it, if it carries
+// reportToNewCarriers tells nodes that have come to carry a service all that this one knows of it, if it carries
 // the service too.
-func (s *services) welcome() {
+func (s *services) reportToNewCarriers() {
 	for _, svc := range s.all() {
 		now := map[ident.Process]bool{}
 		var fresh []*tlv1.Member
@@ -534,7 +534,7 @@
 			continue
 		}
 		r := svc.pool.Report(true)
-		s.sign(svc, r)
+		s.setSender(svc, r)
 		for part := range slices.Chunk(r.GetSeen(), seenPerParcel) {
 			one := &tlv1.Report{Node: r.Node, Incarnation: r.Incarnation, Seq: r.Seq, Service: r.Service, Seen: part, Asked: r.Asked, Unserved: r.Unserved, Failed: r.Failed}
 			n := gossipAddresses(fresh, func(*tlv1.Member) bool { return true })
@@ -546,28 +546,28 @@
 // seenPerParcel bounds one datagram of what was seen.
 const seenPerParcel = 24
 
-// hear takes in another node's report.
-func (s *services) hear(r *tlv1.Report) {
+// handleReport takes in another node's report.
+func (s *services) handleReport(r *tlv1.Report) {
 	if r.GetNode() == string(s.node.self.Node) {
 		return
 	}
 	s.mu.Lock()
 	svc := s.byName[r.GetService()]
 	s.mu.Unlock()
-	if svc == nil || !svc.filled.Load() {
+	if svc == nil || !svc.loaded.Load() {
 		return
 	}
 	from := ident.Process{Node: ident.Node(r.GetNode()), Incarnation: ident.Incarnation(r.GetIncarnation())}
 	svc.mu.Lock()
-	svc.users[from] = use{at: s.node.clock.Now(), asked: int(r.GetAsked())}
+	svc.users[from] = usage{reportedAt: s.node.clock.Now(), requests: int(r.GetAsked())}
 	svc.mu.Unlock()
 	svc.pool.ApplyReport(from, r)
 }
 
-// needed returns the services whose targets this node holds ready.
-func (s *services) needed() (names []string) {
+// loadedServices returns the services whose targets this node holds ready.
+func (s *services) loadedServices() (names []string) {
 	for _, svc := range s.all() {
-		if svc.filled.Load() {
+		if svc.loaded.Load() {
 			names = append(names, svc.name)
 		}
 	}
@@ -582,19 +582,19 @@
 			continue
 		}
 		if r := svc.pool.Report(true); r != nil && len(r.GetSeen()) > 0 {
-			s.sign(svc, r)
+			s.setSender(svc, r)
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// note tells of a change in what is believed of a target. Each node that changes its mind puts it into
+// recordEvent tells of a change in what is believed of a target. Each node that changes its mind puts it into
 // the night's report, by whoever's word: one node's word may move those that hear it over the bound, and
 // not that node itself. Only the nodes that carry or use a service hear of its targets.
-func (s *services) note(svc *service, e pool.Event) {
+func (s *services) recordEvent(svc *service, e pool.Event) {
 	s.node.metrics.belief(e.Kind)
-	if e.By == "" || s.lines.Allow() {
+	if e.By == "" || s.peerBeliefLines.Allow() {
 		s.node.log.WithFields(logrus.Fields{
 			"event": e.Kind, "service": svc.name, "target": e.Target, "failing": fmt.Sprintf("%.2f", e.Failing), "by": e.By,
 		}).Info()
--- a/node/wire.go
+++ b/node/wire.go
@@ -171,7 +171,7 @@
 		case *tlv1.Parcel_Records:
 			n.records.hear(b.Records, "peer")
 		case *tlv1.Parcel_Report:
-			n.services.hear(b.Report)
+			n.services.handleReport(b.Report)
 		case *tlv1.Parcel_Borrow:
 			n.quotas.lend(b.Borrow)
 		case *tlv1.Parcel_Lend:
