--- a/node/carriers.go
+++ b/node/carriers.go
@@ -12,8 +12,8 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// fewCarriers is the least nodes of each hall that carry a group of services.
-const fewCarriers = 2
+// minCarriersPerHall is the least nodes of each hall that carry a group of services.
+const minCarriersPerHall = 2
 
 // carriers says which nodes carry which services: a few in each hall, so that they see enough of
 // the targets to judge them and know what is in flight, and as many as the services' requests need.
@@ -23,14 +23,14 @@
 
 	mu sync.Mutex
 	// version and generation tell when the members or the services have changed.
-	version, seen, generation uint64
-	left                      bool
-	cache                     map[carrierKey][]*tlv1.Member
-	// shared are the nodes that share the limits of workspaces, as of the same version; nil if not worked out yet.
-	shared []*tlv1.Member
-	// byHall are the ready nodes of each hall that has any; nil if not worked out yet.
-	byHall map[ident.Hall][]*tlv1.Member
-	slots  map[string]int
+	version, seenGeneration, generation uint64
+	leaving                             bool
+	cache                               map[carrierKey][]*tlv1.Member
+	// sharerCache are the nodes that share the limits of workspaces, as of the same version; nil if not worked out yet.
+	sharerCache []*tlv1.Member
+	// readyByHall are the ready nodes of each hall that has any; nil if not worked out yet.
+	readyByHall map[ident.Hall][]*tlv1.Member
+	slots       map[string]int
 }
 
 type carrierKey struct {
@@ -68,19 +68,19 @@
 func (c *carriers) setSlots(slots map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if maps.EqualFunc(c.slots, slots, alike) {
+	if maps.EqualFunc(c.slots, slots, similarSlots) {
 		return // as many carry them
 	}
 	c.slots = slots
 	c.generation++
 }
 
-// slotsRoom is by how much of what they are slots may change without a look at who carries them.
-const slotsRoom = 0.02
+// slotsTolerance is by how much of what they are slots may change without a look at who carries them.
+const slotsTolerance = 0.02
 
-// alike says whether services of so many slots are carried alike.
-func alike(a, b int) bool {
-	return math.Abs(float64(a-b)) <= slotsRoom*float64(max(a, b))
+// similarSlots says whether services of so many slots are carried similarSlots.
+func similarSlots(a, b int) bool {
+	return math.Abs(float64(a-b)) <= slotsTolerance*float64(max(a, b))
 }
 
 // groupOf returns the service's group. Each of the fleet's own services is one by itself.
@@ -101,7 +101,7 @@
 	k := carrierKey{group: group, hall: hall}
 	list, found := c.cache[k]
 	if !found {
-		list = c.rank(k)
+		list = c.selectCarriers(k)
 		c.cache[k] = list
 	}
 	return list
@@ -110,24 +110,24 @@
 // refresh forgets what was worked out of members or slots that have changed. The caller holds the lock.
 func (c *carriers) refresh() {
 	left := c.node.leaving.started()
-	if v := c.node.members.Version(); v != c.version || c.seen != c.generation || left != c.left {
-		c.version, c.seen, c.left = v, c.generation, left
+	if v := c.node.members.Version(); v != c.version || c.seenGeneration != c.generation || left != c.leaving {
+		c.version, c.seenGeneration, c.leaving = v, c.generation, left
 		clear(c.cache)
-		c.shared, c.byHall = nil, nil
+		c.sharerCache, c.readyByHall = nil, nil
 	}
 }
 
-// sharing returns the nodes that share the limits of workspaces, by name: the first of each hall that carry the desired
+// sharers returns the nodes that share the limits of workspaces, by name: the first of each hall that carry the desired
 // state's routes. Those that carry them only for as long as many requests are in flight borrow what they need: with a part
 // for each, parts moved whenever requests came or went, and what a mover waits for others is nobody's meanwhile.
-func (c *carriers) sharing() []*tlv1.Member {
+func (c *carriers) sharers() []*tlv1.Member {
 	t := c.node.records.table.Load()
 	if t == nil {
 		return nil
 	}
 	c.mu.Lock()
 	c.refresh()
-	shared, version, generation := c.shared, c.version, c.generation
+	shared, version, generation := c.sharerCache, c.version, c.generation
 	c.mu.Unlock()
 	if shared != nil {
 		return shared
@@ -137,7 +137,7 @@
 	for _, g := range t.Groups() {
 		for _, h := range halls {
 			list := c.inHall(g, h)
-			for _, m := range list[:min(fewCarriers, len(list))] {
+			for _, m := range list[:min(minCarriersPerHall, len(list))] {
 				byNode[m.GetNode()] = m
 			}
 		}
@@ -148,21 +148,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.version == version && c.generation == generation {
-		c.shared = shared
+		c.sharerCache = shared
 	}
 	return shared
 }
 
-// rank takes the nodes with the most capacity first, in an order of its own for each group, until
+// selectCarriers takes the nodes with the most capacity first, in an order of its own for each group, until
 // they are enough.
-func (c *carriers) rank(k carrierKey) []*tlv1.Member {
+func (c *carriers) selectCarriers(k carrierKey) []*tlv1.Member {
 	byNode := map[ident.Node]*tlv1.Member{}
 	var candidates []assign.Candidate
 	for _, m := range c.readyIn(k.hall) {
 		byNode[ident.Node(m.GetNode())] = m
 		candidates = append(candidates, assign.Candidate{Node: ident.Node(m.GetNode()), Hall: k.hall, Weight: m.GetWeight()})
 	}
-	need, few := c.needs(k, len(c.openHalls()))
+	need, few := c.required(k, len(c.hallsLocked()))
 	var list []*tlv1.Member
 	for _, r := range assign.Strongest(string(k.group), candidates, need, few) {
 		list = append(list, byNode[r.Node])
@@ -170,19 +170,19 @@
 	return list
 }
 
-// evenWeight gives all candidates the same chance.
-const evenWeight = assign.FullWeight
+// equalWeight gives all candidates the same chance.
+const equalWeight = assign.FullWeight
 
 const (
-	// demandRoom is how many times what a hall has in flight its carriers can carry, and unseenShare the share of all
+	// demandHeadroom is how many times what a hall has in flight its carriers can carry, and unseenShare the share of all
 	// slots that they can carry at least: what comes before anything was seen is not more.
-	demandRoom  = 3
-	unseenShare = 0.1
+	demandHeadroom = 3
+	minSlotShare   = 0.1
 )
 
-// needs says how many slots the group's nodes of one hall must be able to carry, and how many nodes
+// required says how many slots the group's nodes of one hall must be able to carry, and how many nodes
 // there must be at least. The slots are those that its requests need, and no more than there are.
-func (c *carriers) needs(k carrierKey, halls int) (slots, nodes int) {
+func (c *carriers) required(k carrierKey, halls int) (slots, nodes int) {
 	group := k.group
 	halls = max(halls, 1)
 	if n := c.node.records.book.Load().nodes(string(group)); n > 0 {
@@ -198,9 +198,9 @@
 		all += n
 	}
 	share := float64(slots) / float64(max(all, 1))
-	used := share * float64(c.node.demand.of(k.hall)*demandRoom)
+	used := share * float64(c.node.demand.of(k.hall)*demandHeadroom)
 	slots = (slots + halls - 1) / halls
-	return min(slots, max(int(used), int(unseenShare*float64(slots)))), fewCarriers
+	return min(slots, max(int(used), int(minSlotShare*float64(slots)))), minCarriersPerHall
 }
 
 // demandChanged has the carriers worked out anew.
@@ -210,8 +210,8 @@
 	c.generation++
 }
 
-// changes is raised whenever the carriers may be others.
-func (c *carriers) changes() uint64 {
+// currentGeneration is raised whenever the carriers may be others.
+func (c *carriers) currentGeneration() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.generation
@@ -219,13 +219,13 @@
 
 // readyIn returns the hall's members that callers may be sent to. The caller holds the lock.
 func (c *carriers) readyIn(hall ident.Hall) []*tlv1.Member {
-	if c.byHall == nil {
-		c.byHall = map[ident.Hall][]*tlv1.Member{}
+	if c.readyByHall == nil {
+		c.readyByHall = map[ident.Hall][]*tlv1.Member{}
 		for _, m := range c.ready() {
-			c.byHall[hallOf(m)] = append(c.byHall[hallOf(m)], m)
+			c.readyByHall[hallOf(m)] = append(c.readyByHall[hallOf(m)], m)
 		}
 	}
-	return c.byHall[hall]
+	return c.readyByHall[hall]
 }
 
 // halls returns the halls of all ready nodes, in order.
@@ -233,13 +233,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
-	return c.openHalls()
+	return c.hallsLocked()
 }
 
-// openHalls is halls for those that hold the lock.
-func (c *carriers) openHalls() []ident.Hall {
+// hallsLocked is halls for those that hold the lock.
+func (c *carriers) hallsLocked() []ident.Hall {
 	_ = c.readyIn("")
-	return slices.Sorted(maps.Keys(c.byHall))
+	return slices.Sorted(maps.Keys(c.readyByHall))
 }
 
 // all returns the nodes of all halls that carry the service.
@@ -262,8 +262,8 @@
 	return slices.ContainsFunc(members, func(m *tlv1.Member) bool { return processOf(m) == n.self })
 }
 
-// nodesOf returns the members' names.
-func nodesOf(members []*tlv1.Member) []ident.Node {
+// nodeNames returns the members' names.
+func nodeNames(members []*tlv1.Member) []ident.Node {
 	names := make([]ident.Node, 0, len(members))
 	for _, m := range members {
 		names = append(names, ident.Node(m.GetNode()))
@@ -271,7 +271,7 @@
 	return names
 }
 
-// near returns the nodes of this hall that carry the service.
-func (c *carriers) near(service string) []*tlv1.Member {
+// inOwnHall returns the nodes of this hall that carry the service.
+func (c *carriers) inOwnHall(service string) []*tlv1.Member {
 	return c.inHall(c.groupOf(service), c.node.hall())
 }
--- a/node/idle.go
+++ b/node/idle.go
@@ -8,15 +8,15 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// idleEvery is the pause between two looks at targets without work, for each service.
-const idleEvery = 1 * clock.Second
+// idleLogInterval is the pause between two looks at targets without work, for each service.
+const idleLogInterval = 1 * clock.Second
 
-// tellIdle tells of targets that had no work of late while their service is in deep trouble: the platform holds it to
+// logIdleTargets tells of targets that had no work of late while their service is in deep trouble: the platform holds it to
 // a floor then, and the line says what kept this node from each of them.
-func (s *services) tellIdle() {
+func (s *services) logIdleTargets() {
 	now := s.node.clock.Now()
 	for _, svc := range s.all() {
-		if now-svc.idleCheckedAt < idleEvery {
+		if now-svc.idleCheckedAt < idleLogInterval {
 			continue
 		}
 		svc.idleCheckedAt = now
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -78,13 +78,13 @@
 	n := q.node
 	now := n.clock.Now()
 	live := len(n.members.Live()) + 1
-	sharing := n.carriers.sharing()
+	sharing := n.carriers.sharers()
 	q.count(live, now)
 	started := now-n.duty.since < limitYoung
 	named, met := q.seeds()
 	v := limit.View{
 		Seeds: named, SeedsReached: met,
-		Sharers: nodesOf(sharing), IsSharer: n.isAmong(sharing),
+		Sharers: nodeNames(sharing), IsSharer: n.isAmong(sharing),
 		SharerCount: len(sharing), Live: live, PeakLive: q.known.see(live, now),
 		Isolated: n.peers.lonely() && now-n.duty.since < aloneFor, JustStarted: q.young(), ColdStart: started && q.fresh(),
 	}
@@ -203,7 +203,7 @@
 func (q *quotas) ask(x *limit.LoanRequest) {
 	n := q.node
 	var near, far []string
-	for _, m := range n.carriers.sharing() {
+	for _, m := range n.carriers.sharers() {
 		switch {
 		case m.GetNode() == string(n.self.Node):
 		case hallOf(m) == n.hall():
--- a/node/retries.go
+++ b/node/retries.go
@@ -29,7 +29,7 @@
 	v := pool.FleetView{Live: live, PeakLive: s.most.see(live, n.clock.Now()), JustStarted: n.clock.Now()-n.duty.since < r.Window.Millis()}
 	carriers := n.carriers.all(svc.name)
 	svc.mu.Lock()
-	v.Carriers, v.Carries = svc.sharers.Observe(nodesOf(carriers), n.isAmong(carriers) && v.HasQuorum(), first, n.clock.Now())
+	v.Carriers, v.Carries = svc.sharers.Observe(nodeNames(carriers), n.isAmong(carriers) && v.HasQuorum(), first, n.clock.Now())
 	svc.mu.Unlock()
 	return r.Slack * pool.SlackShare(v)
 }
--- a/node/services.go
+++ b/node/services.go
@@ -82,8 +82,8 @@
 	stale       bool
 	// noTargets says that there were no targets then: the first ones are waited for by requests.
 	noTargets bool
-	// turns are this node's places among those that try targets.
-	turns *turns
+	// trialRanks are this node's places among those that try targets.
+	trialRanks *trialRanks
 	// most is how many nodes there were of late.
 	most peak
 	// peerBeliefLines bounds how many changes of belief by others' word the log is told of one by one.
@@ -94,7 +94,7 @@
 const maxPeerBeliefLines = 16
 
 func newServices(n *Node) *services {
-	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, turns: newTurns(n.self.Node), peerBeliefLines: logs.NewLimiter(n.clock, maxPeerBeliefLines)}
+	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, trialRanks: newTrialRanks(n.self.Node), peerBeliefLines: logs.NewLimiter(n.clock, maxPeerBeliefLines)}
 }
 
 // get returns the service that a request is for, making it if there is none, with its targets.
@@ -194,7 +194,7 @@
 	for _, name := range s.serviceNames() {
 		carried[name] = s.node.carriers.carries(name)
 	}
-	s.turns.begin(s.node.carriers)
+	s.trialRanks.update(s.node.carriers)
 	place := s.node.placing()
 	for _, t := range known {
 		if only != nil && !only[t.service] {
@@ -203,7 +203,7 @@
 		near := t.hall == s.node.hall()
 		trialRank := -1
 		if carried[t.service] && (near || !slices.Contains(halls, t.hall)) {
-			trialRank = s.turns.of(t, near)
+			trialRank = s.trialRanks.rank(t, near)
 		}
 		until, rate := place.cold(t, trialRank)
 		byService[t.service] = append(byService[t.service], pool.Target{
@@ -407,7 +407,7 @@
 		return
 	}
 	s.setSender(svc, r)
-	members := n.carriers.near(svc.name)
+	members := n.carriers.inOwnHall(svc.name)
 	switch to {
 	case targetHallCarriers:
 		members = slices.Concat(members, n.carriers.inHall(n.carriers.groupOf(svc.name), of))
@@ -470,14 +470,14 @@
 // tick follows the members, and keeps other nodes told.
 func (s *services) tick() {
 	s.mu.Lock()
-	v, g := s.node.members.Version(), s.node.carriers.changes()
+	v, g := s.node.members.Version(), s.node.carriers.currentGeneration()
 	sends := s.node.coldView().MaySend()
 	changed, stale := v != s.membersVersion || g != s.carriersGeneration || sends != s.maySend, s.stale
 	s.membersVersion, s.carriersGeneration, s.maySend = v, g, sends
 	s.mu.Unlock()
 	s.reportLoads()
 	s.logSummaries()
-	s.tellIdle()
+	s.logIdleTargets()
 	s.wake()
 	s.deal()
 	switch {
--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -77,9 +77,9 @@
 // first says whether this node is first for trials of the request, of those that it hears.
 func (s *suspects) first(p quarantine.Fingerprint) bool {
 	n := s.node
-	list := []assign.Candidate{{Node: n.self.Node, Weight: evenWeight}}
+	list := []assign.Candidate{{Node: n.self.Node, Weight: equalWeight}}
 	for _, m := range n.members.Live() {
-		list = append(list, assign.Candidate{Node: ident.Node(m.GetNode()), Weight: evenWeight})
+		list = append(list, assign.Candidate{Node: ident.Node(m.GetNode()), Weight: equalWeight})
 	}
 	return assign.First(trialDuty+p.String(), list) == n.self.Node
 }
--- a/node/turns.go
+++ b/node/turns.go
@@ -9,72 +9,72 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// turns are this node's places among those that try targets when too little is known of them, from 0: the nodes of a
+// trialRanks are this node's places among those that try targets when too little is known of them, from 0: the nodes of a
 // target's hall that carry its service, in an order that is each target's own, so that its trials are not made twice.
 // A place is worked out once for as long as the carriers stay the same.
-type turns struct {
+type trialRanks struct {
 	self ident.Node
 
 	mu       sync.Mutex
 	carriers *carriers
-	// near and all are the carriers of each service, and places those of targets among them.
-	near, all map[string]*field
+	// sameHall and anyHall are the carriers of each service, and places those of targets among them.
+	sameHall, anyHall map[string]*trialCandidates
 }
 
-// A field is who tries the targets of one service.
-type field struct {
+// A trialCandidates is who tries the targets of one service.
+type trialCandidates struct {
 	members    []*tlv1.Member
 	candidates []assign.Candidate
-	places     map[ident.Target]int
+	ranks      map[ident.Target]int
 }
 
-func newTurns(self ident.Node) *turns {
-	return &turns{self: self, near: map[string]*field{}, all: map[string]*field{}}
+func newTrialRanks(self ident.Node) *trialRanks {
+	return &trialRanks{self: self, sameHall: map[string]*trialCandidates{}, anyHall: map[string]*trialCandidates{}}
 }
 
-// begin looks at the carriers anew.
-func (t *turns) begin(c *carriers) {
+// update looks at the carriers anew.
+func (t *trialRanks) update(c *carriers) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.carriers = c
-	for service, f := range t.near {
-		f.follow(c.near(service))
+	for service, f := range t.sameHall {
+		f.update(c.inOwnHall(service))
 	}
-	for service, f := range t.all {
-		f.follow(c.all(service))
+	for service, f := range t.anyHall {
+		f.update(c.all(service))
 	}
 }
 
-// of returns this node's place for the target, among the carriers of this hall or of all; -1 if it does not try it.
-func (t *turns) of(x target, near bool) int {
+// rank returns this node's place for the target, among the carriers rank this hall or rank all; -1 if it does not try it.
+func (t *trialRanks) rank(x target, near bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fields, members := t.all, t.carriers.all
+	fields, members := t.anyHall, t.carriers.all
 	if near {
-		fields, members = t.near, t.carriers.near
+		fields, members = t.sameHall, t.carriers.inOwnHall
 	}
 	f := fields[x.service]
 	if f == nil {
-		f = &field{}
-		f.follow(members(x.service))
+		f = &trialCandidates{}
+		f.update(members(x.service))
 		fields[x.service] = f
 	}
-	place, found := f.places[x.id]
+	place, found := f.ranks[x.id]
 	if !found {
 		place = assign.Position(string(x.id), f.candidates, t.self)
-		f.places[x.id] = place
+		f.ranks[x.id] = place
 	}
 	return place
 }
 
-// follow forgets the places if the carriers are others now.
-func (f *field) follow(members []*tlv1.Member) {
+// update forgets the places if the carriers are others now.
+func (f *trialCandidates) update(members []*tlv1.Member) {
 	same := func(a, b *tlv1.Member) bool { return a.GetNode() == b.GetNode() }
-	if f.places != nil && slices.EqualFunc(f.members, members, same) {
+	if f.ranks != nil && slices.EqualFunc(f.members, members, same) {
 		return
 	}
-	f.members, f.places, f.candidates = members, map[ident.Target]int{}, f.candidates[:0]
+	f.members, f.ranks, f.candidates = members, map[ident.Target]int{}, f.candidates[:0]
 	for _, m := range members {
-		f.candidates = append(f.candidates, assign.Candidate{Node: ident.Node(m.GetNode()), Weight: evenWeight})
+		f.candidates = append(f.candidates, assign.Candidate{Node: ident.Node(m.GetNode()), Weight: equalWeight})
 	}
 }
