--- a/node/turns.go
+++ b/node/turns.go
@@ -9,19 +9,19 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// trialRanks are this node's places among those that try targets when too little is known of them, from 0: the nodes of a
-// target's hall that carry its service, in an order that is each target's own, so that its trials are not made twice.
-// A place is worked out once for as long as the carriers stay the same.
+// trialRanks caches this node's rank, from 0, among the nodes that send trial requests to a target of which too little is
+// known. These are the carriers of its service in the target's hall, in an order specific to the target, so that a trial is
+// not made twice. Ranks are computed once for each set of carriers.
 type trialRanks struct {
 	self ident.Node
 
 	mu       sync.Mutex
 	carriers *carriers
-	// sameHall and anyHall are the carriers of each service, and places those of targets among them.
+	// sameHall and anyHall hold the candidates of each service: the carriers of this hall, and those of all halls.
 	sameHall, anyHall map[string]*trialCandidates
 }
 
-// A trialCandidates is who tries the targets of one service.
+// trialCandidates are the nodes that may try the targets of one service, and this node's rank by target.
 type trialCandidates struct {
 	members    []*tlv1.Member
 	candidates []assign.Candidate
@@ -32,7 +32,7 @@
 	return &trialRanks{self: self, sameHall: map[string]*trialCandidates{}, anyHall: map[string]*trialCandidates{}}
 }
 
-// update looks at the carriers anew.
+// update follows the current carriers.
 func (t *trialRanks) update(c *carriers) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +45,8 @@
 	}
 }
 
-// rank returns this node's place for the target, among the carriers rank this hall or rank all; -1 if it does not try it.
+// rank returns this node's rank for the target, among the carriers of this hall if near is set or of all halls; -1 if it does
+// not try it.
 func (t *trialRanks) rank(x target, near bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,7 +68,7 @@
 	return place
 }
 
-// update forgets the places if the carriers are others now.
+// update discards the ranks if the carriers have changed.
 func (f *trialCandidates) update(members []*tlv1.Member) {
 	same := func(a, b *tlv1.Member) bool { return a.GetNode() == b.GetNode() }
 	if f.ranks != nil && slices.EqualFunc(f.members, members, same) {
