--- a/node/idle.go
+++ b/node/idle.go
@@ -8,11 +8,11 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// idleLogInterval is the pause between two looks at targets without work, for each service.
+// idleLogInterval is the interval between two searches for targets without work, per service.
 const idleLogInterval = 1 * clock.Second
 
-// logIdleTargets tells of targets that had no work of late while their service is in deep trouble: the platform holds it to
-// a floor then, and the line says what kept this node from each of them.
+// logIdleTargets logs targets without recent work while more requests of their service fail than expected. The platform then
+// requires a minimum of work on each target; the line shows what kept this node from them.
 func (s *services) logIdleTargets() {
 	now := s.node.clock.Now()
 	for _, svc := range s.all() {
