--- a/node/services.go
+++ b/node/services.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// nearReportInterval is the least time between two reports to the service's nodes in this hall, and
-	// farEvery to those in others. Failures are told at once.
+	// nearReportInterval is the minimum time between two load reports to the nodes of this hall that carry the service;
+	// farReportInterval is the same for those of other halls. Failures are reported at once.
 	nearReportInterval clock.Millis = 20
 	farReportInterval  clock.Millis = 500
-	// userRetention is how long after its last report a node is told of evidence on a service's targets, and mostUsers how many
-	// are besides the carriers, the busiest first: now and then a request comes to each node of the fleet, and each failure
-	// would be told to all of them.
+	// userRetention is how long after its last report a node receives evidence on a service's targets. At most maxUsers
+	// nodes besides the carriers do, the busiest first: occasional requests reach every node of the fleet, and each failure
+	// would otherwise be reported to all of them.
 	userRetention = 8 * clock.Second
 	maxUsers      = 32
 )
 
-// A service is what this node knows of one service's targets.
+// A service is this node's state of one service and its targets.
 type service struct {
 	name  string
 	pool  *pool.Pool
@@ -41,63 +41,63 @@
 	lastNearReport clock.Millis
 	lastFarReport  clock.Millis
 	flushScheduled bool
-	// users are other nodes that were heard to use the service.
+	// users are the other nodes that reported requests for the service.
 	users map[ident.Process]usage
-	// paces are how long the requests of each route take.
+	// paces are the durations of requests, by route.
 	paces map[string]*pace
-	// carriers are the nodes that carried the service when last looked at.
+	// carriers are the nodes that carried the service at the last check.
 	carriers map[ident.Process]bool
-	// sharers are the nodes that carried the service of late.
+	// sharers are the nodes that carried the service recently.
 	sharers *assign.Sharers
-	// idleCheckedAt is when targets without work were last looked for; the tick alone uses it.
+	// idleCheckedAt is the time of the last search for targets without work; used by tick only.
 	idleCheckedAt clock.Millis
-	// lastRequestAt is when a request last came for the service, in milliseconds, and filled says that the pool has its targets.
+	// lastRequestAt is the time of the last request for the service, in milliseconds.
 	lastRequestAt atomic.Int64
-	loaded        atomic.Bool
+	// loaded reports whether the pool has its targets.
+	loaded atomic.Bool
 }
 
-// A usage is what a node last said of its requests for a service.
+// A usage is what a node last reported of its requests for a service.
 type usage struct {
 	reportedAt clock.Millis
-	// requests is how many of them had ended of late.
+	// requests is the number of them that ended recently.
 	requests int
 }
 
-// services holds the pools of this node.
+// services holds the services of this node and their pools.
 type services struct {
 	node *Node
-	// refreshMu is held while targets are looked at.
+	// refreshMu serializes refreshes of the targets.
 	refreshMu sync.Mutex
-	// lastLayout is who carries what, as of the last look at all targets; it is held with refreshing.
+	// lastLayout is the layoutHash of the last refresh; guarded by refreshMu.
 	lastLayout uint64
 
 	mu     sync.Mutex
 	byName map[string]*service
-	// membersVersion is the version of the membersVersion that the targets were last looked at with.
+	// membersVersion and carriersGeneration are those of the last refresh.
 	membersVersion, carriersGeneration uint64
-	// maySend says whether this node might send to cold targets then.
+	// maySend reports whether this node was allowed to send to targets that are warming up then.
 	maySend bool
-	// refreshedAt is when the targets were last looked at, and stale says that some have changed since.
+	// refreshedAt is the time of the last refresh; stale is set when targets have changed since.
 	refreshedAt clock.Millis
 	stale       bool
-	// noTargets says that there were no targets then: the first ones are waited for by requests.
-	noTargets bool
-	// trialRanks are this node's places among those that try targets.
+	// noTargets is set while no target is known. The first ones are then taken over at once: requests wait for them.
+	noTargets  bool
 	trialRanks *trialRanks
-	// most is how many nodes there were of late.
+	// most is the recent maximum of the number of nodes.
 	most peak
-	// peerBeliefLines bounds how many changes of belief by others' word the log is told of one by one.
+	// peerBeliefLines limits the log lines about changes of belief that other nodes' reports caused.
 	peerBeliefLines *logs.Limiter
 }
 
-// maxPeerBeliefLines is the most changes of belief by others' word in a second that are told of one by one.
+// maxPeerBeliefLines is the maximum of such lines in a second.
 const maxPeerBeliefLines = 16
 
 func newServices(n *Node) *services {
 	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, trialRanks: newTrialRanks(n.self.Node), peerBeliefLines: logs.NewLimiter(n.clock, maxPeerBeliefLines)}
 }
 
-// get returns the service that a request is for, making it if there is none, with its targets.
+// get returns the service with its targets loaded, creating it if necessary.
 func (s *services) get(name string) *service {
 	s.mu.Lock()
 	svc := s.byName[name]
@@ -116,25 +116,25 @@
 	return svc
 }
 
-// load gives the service's pool its targets.
+// load sets the targets of the service's pool.
 func (s *services) load(svc *service, targets []pool.Target) {
 	svc.pool.SetFloor(int(s.node.records.book.Load().services[svc.name].GetService().GetFloorSlots()))
 	svc.pool.SetTargets(targets)
 	svc.loaded.Store(true)
 }
 
-// poolRetention is how long a node that does not carry a service keeps its targets ready after a request for it: as long as callers
-// that were sent here may come. Now and then a request comes to each node of the fleet, and what changes would cost them all.
+// poolRetention is how long after a request a node that does not carry the service keeps its targets loaded, as more callers
+// may have been sent here. Occasional requests reach every node of the fleet; reporting every change to all of them is costly.
 const poolRetention = 5 * clock.Second
 
-// needsTargets says whether this node holds the service's targets ready: it carries the service, or was asked for it of late. The
-// others of a hall, which are most, hold the records alone.
+// needsTargets reports whether this node keeps the service's targets loaded: it carries the service or had a recent request
+// for it. Most nodes of a hall hold only the records.
 func (s *services) needsTargets(svc *service) bool {
 	at := clock.Millis(svc.lastRequestAt.Load())
 	return at > 0 && s.node.clock.Now()-at < poolRetention || s.node.carriers.carries(svc.name)
 }
 
-// add makes a service with the targets that are known. The caller holds the lock.
+// add creates a service. The caller holds s.mu.
 func (s *services) add(name string) *service {
 	n := s.node
 	r := n.settings().Retries
@@ -146,8 +146,7 @@
 	return svc
 }
 
-// pace returns how long the route's requests take at the service. It keeps no more than maxPaces, and
-// forgets all when there are more: routes come and go.
+// pace returns the durations of the route's requests. At maxPaces routes it discards all of them, since routes come and go.
 func (s *service) pace(route string, c clock.Clock) *pace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,10 +161,10 @@
 	return p
 }
 
-// maxPaces bounds the routes of one service whose pace is kept, at 4 KB each.
+// maxPaces is the maximum number of routes per service with recorded durations, at 4 KB each.
 const maxPaces = 64
 
-// all returns the services, by name.
+// all returns the services, sorted by name.
 func (s *services) all() []*service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +185,8 @@
 	return slices.Concat(registered, named)
 }
 
-// poolTargets returns the poolTargets of the services named, of those known, as pools take them; nil stands for all services.
+// poolTargets returns the known targets by service in the form that pools take. It is restricted to the services in only,
+// unless that is nil.
 func (s *services) poolTargets(known []target, only map[string]bool) map[string][]pool.Target {
 	byService := map[string][]pool.Target{}
 	halls := s.node.carriers.halls()
@@ -215,11 +215,11 @@
 	return byService
 }
 
-// minRefreshInterval is the least time between two looks at all targets because some changed: while a fleet starts, thousands
-// of records come eight to a datagram, and a look costs time by the number of targets.
+// minRefreshInterval is the minimum time between two refreshes caused by changed targets. While a fleet starts, thousands of
+// records arrive, eight per datagram, and the cost of a refresh grows with the number of targets.
 const minRefreshInterval clock.Millis = 100
 
-// targetsChanged takes over the targets that are known now, at once or, if that was just done, soon.
+// targetsChanged refreshes the changed targets now, or at the next tick if the last refresh was too recent.
 func (s *services) targetsChanged() {
 	s.mu.Lock()
 	now := s.node.clock.Now()
@@ -231,7 +231,7 @@
 	}
 }
 
-// refresh takes over the targets that are known now, of all services.
+// refresh updates the targets of all services.
 func (s *services) refresh() {
 	s.refreshMu.Lock()
 	defer s.refreshMu.Unlock()
@@ -239,16 +239,15 @@
 	s.refreshServices(nil)
 }
 
-// refreshChanged does the same of the services whose targets have changed, as long as members and carriers are those
-// that all were last looked at with.
+// refreshChanged updates the services whose targets have changed, or all services if the layout has changed.
 func (s *services) refreshChanged() {
 	s.refreshMu.Lock()
 	defer s.refreshMu.Unlock()
 	s.refreshServices(s.node.records.touchedServices())
 }
 
-// refreshServices takes over the targets of the services named; nil stands for all. The caller holds the lock, so that of two
-// looks at the targets the later one stays.
+// refreshServices updates the targets of the given services; nil stands for all. The caller holds s.refreshMu, so that the
+// later of two refreshes prevails.
 func (s *services) refreshServices(touched map[string]bool) {
 	s.mu.Lock()
 	s.refreshedAt, s.stale = s.node.clock.Now(), false
@@ -262,7 +261,7 @@
 	s.noTargets = count == 0
 	s.mu.Unlock()
 	s.node.carriers.setSlots(slots)
-	if laid := s.layoutHash(); laid != s.lastLayout { // whose part a target is depends on it
+	if laid := s.layoutHash(); laid != s.lastLayout { // the assignment of targets depends on it
 		touched, s.lastLayout = nil, laid
 	}
 	s.mu.Lock()
@@ -294,7 +293,7 @@
 	}
 }
 
-// count returns how many targets requests may go to by what this node knows, whether it holds them ready or not.
+// count returns the number of usable targets that this node knows, loaded into a pool or not.
 func (s *services) count() (targets int) {
 	held := map[string]bool{}
 	for _, svc := range s.all() {
@@ -315,8 +314,8 @@
 	return targets
 }
 
-// layoutHash sums up who carries what, in which halls, and whether this node sends to cold targets: with the same, targets that
-// have not changed are used as before.
+// layoutHash returns a hash of the carriers of each service, their halls, and whether this node may send to targets that are
+// warming up. While it is the same, unchanged targets keep their assignment.
 func (s *services) layoutHash() uint64 {
 	x := xxhash.New()
 	for _, h := range s.node.carriers.halls() {
@@ -334,7 +333,7 @@
 	return x.Sum64()
 }
 
-// layoutChanged says whether targets are to be used in another way than at the last look at all of them.
+// layoutChanged reports whether the layout differs from that of the last refresh.
 func (s *services) layoutChanged() bool {
 	s.refreshMu.Lock()
 	defer s.refreshMu.Unlock()
@@ -350,8 +349,8 @@
 	return names
 }
 
-// report tells the service's other nodes what this one has seen: its load those of this hall, soon; the load of a
-// target of another hall, that hall too, at once; evidence, all, at once.
+// report sends this node's view of the service to other nodes: its load to the carriers of this hall, at most once per
+// nearReportInterval; the load of a target in another hall to that hall's carriers too, at once; evidence to all users, at once.
 func (s *services) report(svc *service, w pool.ChangeKind, of ident.Hall) {
 	now := s.node.clock.Now()
 	svc.mu.Lock()
@@ -377,22 +376,22 @@
 	s.send(svc, to, of)
 }
 
-// An audience says which other nodes a report is for.
+// An audience is the set of nodes that receive a report.
 type audience int
 
 // Audiences, each with the ones before it.
 const (
 	// sameHallCarriers are the nodes of this hall that carry the service.
 	sameHallCarriers audience = iota
-	// targetHallCarriers are those of a target's hall: whoever else uses it learns of its load now and then.
+	// targetHallCarriers adds the carriers of the target's hall. Other users of the target learn its load from periodic reports.
 	targetHallCarriers
 	// allCarriers are those of all halls.
 	allCarriers
-	// allUsers are all nodes that used the service of late.
+	// allUsers adds the nodes that used the service recently.
 	allUsers
 )
 
-// flush sends what waited to be told.
+// flush sends a delayed load report.
 func (s *services) flush(svc *service) {
 	svc.mu.Lock()
 	svc.flushScheduled = false
@@ -420,7 +419,7 @@
 	n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Report{Report: r}}, addresses...)
 }
 
-// withUsers adds the nodes that used the service the most of late to those that carry it.
+// withUsers returns the carriers and the busiest of the other nodes that used the service recently.
 func (s *services) withUsers(svc *service, carriers []*tlv1.Member) []*tlv1.Member {
 	now := s.node.clock.Now()
 	carry := map[ident.Process]bool{}
@@ -451,7 +450,7 @@
 	r.Node, r.Incarnation, r.Service = string(s.node.self.Node), uint64(s.node.self.Incarnation), svc.name
 }
 
-// reportLoads tells other nodes now and then of requests that have been in flight for long.
+// reportLoads sends the load to all carriers periodically, so that they learn of long-running requests.
 func (s *services) reportLoads() {
 	now := s.node.clock.Now()
 	for _, svc := range s.all() {
@@ -467,7 +466,7 @@
 	}
 }
 
-// tick follows the members, and keeps other nodes told.
+// tick follows changes of members and carriers, and sends periodic reports.
 func (s *services) tick() {
 	s.mu.Lock()
 	v, g := s.node.members.Version(), s.node.carriers.currentGeneration()
@@ -493,14 +492,14 @@
 	}
 }
 
-// wake gives requests to cold targets as their rates allow.
+// wake admits waiting requests to targets that are warming up, as their rates allow.
 func (s *services) wake() {
 	for _, svc := range s.all() {
 		svc.pool.Wake()
 	}
 }
 
-// logSummaries tells the log of the requests of each service now and then, and of what was not told one by one.
+// logSummaries logs request totals per service periodically, and the number of suppressed belief lines.
 func (s *services) logSummaries() {
 	now := s.node.clock.Now()
 	if more := s.peerBeliefLines.TakeSuppressed(); more > 0 {
@@ -515,8 +514,8 @@
 	}
 }
 
-// reportToNewCarriers tells nodes that have come to carry a service all that this one knows of it, if it carries
-// the service too.
+// reportToNewCarriers sends all that this node has seen of a service to nodes that have begun to carry it, if this node
+// carries it too.
 func (s *services) reportToNewCarriers() {
 	for _, svc := range s.all() {
 		now := map[ident.Process]bool{}
@@ -543,10 +542,10 @@
 	}
 }
 
-// seenPerParcel bounds one datagram of what was seen.
+// seenPerParcel is the maximum number of observations per datagram.
 const seenPerParcel = 24
 
-// handleReport takes in another node's report.
+// handleReport applies another node's report.
 func (s *services) handleReport(r *tlv1.Report) {
 	if r.GetNode() == string(s.node.self.Node) {
 		return
@@ -564,7 +563,7 @@
 	svc.pool.ApplyReport(from, r)
 }
 
-// loadedServices returns the services whose targets this node holds ready.
+// loadedServices returns the services whose targets this node keeps loaded.
 func (s *services) loadedServices() (names []string) {
 	for _, svc := range s.all() {
 		if svc.loaded.Load() {
@@ -574,7 +573,7 @@
 	return names
 }
 
-// reports returns all that this node has seen, of the services that the node has use for that asks.
+// reports returns this node's observations, restricted to the services that the requesting node needs if it names them.
 func (s *services) reports(req *tlv1.SyncRequest) []*tlv1.Report {
 	var list []*tlv1.Report
 	for _, svc := range s.all() {
@@ -589,9 +588,9 @@
 	return list
 }
 
-// recordEvent tells of a change in what is believed of a target. Each node that changes its mind puts it into
-// the night's report, by whoever's word: one node's word may move those that hear it over the bound, and
-// not that node itself. Only the nodes that carry or use a service hear of its targets.
+// recordEvent records a change in the belief about a target in the metrics, the log and the event report. Every node whose
+// belief changes records it, whoever reported the evidence: one report may move the nodes that receive it over the threshold,
+// but not its sender. Only nodes that carry or use a service receive reports of its targets.
 func (s *services) recordEvent(svc *service, e pool.Event) {
 	s.node.metrics.belief(e.Kind)
 	if e.By == "" || s.peerBeliefLines.Allow() {
@@ -607,7 +606,7 @@
 	s.node.events.add(&tlv1.Event{Kind: kind, Workspace: string(name.Workspace), Service: name.Name, Target: string(e.Target)})
 }
 
-// eventKinds are the events that operators find in their report.
+// eventKinds maps pool events to those in the operators' report.
 var eventKinds = map[pool.EventKind]tlv1.EventKind{
 	pool.TargetAvoided:  tlv1.EventKind_EVENT_KIND_EJECTED,
 	pool.TargetReturned: tlv1.EventKind_EVENT_KIND_READMITTED,
