--- a/node/carriers.go
+++ b/node/carriers.go
@@ -12,23 +12,23 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// minCarriersPerHall is the least nodes of each hall that carry a group of services.
+// minCarriersPerHall is the minimum number of nodes per hall that carry a group of services.
 const minCarriersPerHall = 2
 
-// carriers says which nodes carry which services: a few in each hall, so that they see enough of
-// the targets to judge them and know what is in flight, and as many as the services' requests need.
-// Any node can serve any service.
+// carriers assigns services to nodes: a few nodes of each hall carry each service, so that they see enough of its targets to
+// judge them and know the requests in flight. Their number grows with the service's load. Any node can serve any service.
 type carriers struct {
 	node *Node
 
 	mu sync.Mutex
-	// version and generation tell when the members or the services have changed.
+	// version and seenGeneration are those of members and carriers that the caches were computed with; generation is raised
+	// when the carriers may have changed.
 	version, seenGeneration, generation uint64
 	leaving                             bool
 	cache                               map[carrierKey][]*tlv1.Member
-	// sharerCache are the nodes that share the limits of workspaces, as of the same version; nil if not worked out yet.
+	// sharerCache are the nodes that share workspace limits, of the same version; nil if not computed yet.
 	sharerCache []*tlv1.Member
-	// readyByHall are the ready nodes of each hall that has any; nil if not worked out yet.
+	// readyByHall are the ready nodes of each hall that has any; nil if not computed yet.
 	readyByHall map[ident.Hall][]*tlv1.Member
 	slots       map[string]int
 }
@@ -50,12 +50,12 @@
 	return ident.Process{Node: ident.Node(m.GetNode()), Incarnation: ident.Incarnation(m.GetIncarnation())}
 }
 
-// isReady says whether callers may be sent to the member.
+// isReady reports whether callers may be sent to the member.
 func isReady(m *tlv1.Member) bool {
 	return !m.GetLeaving() && m.GetState() == tlv1.NodeState_NODE_STATE_ALIVE
 }
 
-// ready returns the members that callers may be sent to, this node too.
+// ready returns the members that callers may be sent to, including this node.
 func (c *carriers) ready() []*tlv1.Member {
 	list := slices.DeleteFunc(slices.Clone(c.node.members.Live()), func(m *tlv1.Member) bool { return !isReady(m) })
 	if !c.node.leaving.started() {
@@ -64,26 +64,26 @@
 	return list
 }
 
-// setSlots says how many slots the targets of each service have.
+// setSlots sets the number of target slots of each service.
 func (c *carriers) setSlots(slots map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if maps.EqualFunc(c.slots, slots, similarSlots) {
-		return // as many carry them
+		return // the assignment stays
 	}
 	c.slots = slots
 	c.generation++
 }
 
-// slotsTolerance is by how much of what they are slots may change without a look at who carries them.
+// slotsTolerance is the relative change of slots that does not cause a new assignment.
 const slotsTolerance = 0.02
 
-// similarSlots says whether services of so many slots are carried similarSlots.
+// similarSlots reports whether two slot counts lead to the same assignment.
 func similarSlots(a, b int) bool {
 	return math.Abs(float64(a-b)) <= slotsTolerance*float64(max(a, b))
 }
 
-// groupOf returns the service's group. Each of the fleet's own services is one by itself.
+// groupOf returns the service's group. Services of the fleet's own interface form groups of one.
 func (c *carriers) groupOf(service string) desired.Group {
 	if t := c.node.records.table.Load(); t != nil {
 		if _, found := t.Services[service]; found {
@@ -93,7 +93,7 @@
 	return desired.Group(service)
 }
 
-// inHall returns the nodes of the hall that carry the group, best first.
+// inHall returns the nodes of the hall that carry the group, in order of preference.
 func (c *carriers) inHall(group desired.Group, hall ident.Hall) []*tlv1.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +107,7 @@
 	return list
 }
 
-// refresh forgets what was worked out of members or slots that have changed. The caller holds the lock.
+// refresh discards the caches if members or slots have changed. The caller holds the lock.
 func (c *carriers) refresh() {
 	left := c.node.leaving.started()
 	if v := c.node.members.Version(); v != c.version || c.seenGeneration != c.generation || left != c.leaving {
@@ -117,9 +117,9 @@
 	}
 }
 
-// sharers returns the nodes that share the limits of workspaces, by name: the first of each hall that carry the desired
-// state's routes. Those that carry them only for as long as many requests are in flight borrow what they need: with a part
-// for each, parts moved whenever requests came or went, and what a mover waits for others is nobody's meanwhile.
+// sharers returns the nodes that share workspace limits, by name: the first carriers of each hall for the routes of the
+// desired state. Nodes that carry them only under high load borrow instead: if each had a share, shares would move whenever
+// the load changed, and the share of a node that waits for the others to agree is unused meanwhile.
 func (c *carriers) sharers() []*tlv1.Member {
 	t := c.node.records.table.Load()
 	if t == nil {
@@ -153,8 +153,7 @@
 	return shared
 }
 
-// selectCarriers takes the nodes with the most capacity first, in an order of its own for each group, until
-// they are enough.
+// selectCarriers takes nodes by capacity, in an order specific to the group, until they can carry what is required.
 func (c *carriers) selectCarriers(k carrierKey) []*tlv1.Member {
 	byNode := map[ident.Node]*tlv1.Member{}
 	var candidates []assign.Candidate
@@ -174,14 +173,14 @@
 const equalWeight = assign.FullWeight
 
 const (
-	// demandHeadroom is how many times what a hall has in flight its carriers can carry, and unseenShare the share of all
-	// slots that they can carry at least: what comes before anything was seen is not more.
+	// demandHeadroom is the ratio of the carriers' capacity to the hall's requests in flight. minSlotShare is the minimum of that
+	// capacity, as a share of all slots, for the time before any demand is known.
 	demandHeadroom = 3
 	minSlotShare   = 0.1
 )
 
-// required says how many slots the group's nodes of one hall must be able to carry, and how many nodes
-// there must be at least. The slots are those that its requests need, and no more than there are.
+// required returns how many slots the group's carriers in one hall must be able to serve, and the minimum number of nodes.
+// The slots follow the demand and never exceed those that exist.
 func (c *carriers) required(k carrierKey, halls int) (slots, nodes int) {
 	group := k.group
 	halls = max(halls, 1)
@@ -203,14 +202,14 @@
 	return min(slots, max(int(used), int(minSlotShare*float64(slots)))), minCarriersPerHall
 }
 
-// demandChanged has the carriers worked out anew.
+// demandChanged invalidates the assignment.
 func (c *carriers) demandChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.generation++
 }
 
-// currentGeneration is raised whenever the carriers may be others.
+// currentGeneration returns a number that is raised whenever the carriers may have changed.
 func (c *carriers) currentGeneration() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +227,7 @@
 	return c.readyByHall[hall]
 }
 
-// halls returns the halls of all ready nodes, in order.
+// halls returns the halls of all ready nodes, sorted.
 func (c *carriers) halls() []ident.Hall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,7 +235,7 @@
 	return c.hallsLocked()
 }
 
-// hallsLocked is halls for those that hold the lock.
+// hallsLocked is halls for callers that hold the lock.
 func (c *carriers) hallsLocked() []ident.Hall {
 	_ = c.readyIn("")
 	return slices.Sorted(maps.Keys(c.readyByHall))
@@ -252,17 +251,16 @@
 	return list
 }
 
-// carries says whether this node carries the service.
+// carries reports whether this node carries the service.
 func (c *carriers) carries(service string) bool {
 	return c.node.isAmong(c.all(service))
 }
 
-// isAmong says whether this process is one of the members.
+// isAmong reports whether this process is one of the members.
 func (n *Node) isAmong(members []*tlv1.Member) bool {
 	return slices.ContainsFunc(members, func(m *tlv1.Member) bool { return processOf(m) == n.self })
 }
 
-// nodeNames returns the members' names.
 func nodeNames(members []*tlv1.Member) []ident.Node {
 	names := make([]ident.Node, 0, len(members))
 	for _, m := range members {
