--- a/node/answer.go
+++ b/node/answer.go
@@ -160,7 +160,7 @@
 	p.fractions = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	p.Write(x.w)
-	x.node.events.failed(x.service.name, p.Outcome)
+	x.node.events.countFailure(x.service.name, p.Outcome)
 	x.retryAfter = p.RetryAfter
 	x.ended(p.Status, c, p.Detail+": "+err.Error())
 }
--- a/node/ask.go
+++ b/node/ask.go
@@ -95,7 +95,7 @@
 		}
 		q := n.platform.Speech.ParseQuestion(r)
 		var addresses []string
-		for _, m := range n.nodesFor(n.groupOf(q.Host), q.Hall, homes(n.records.table.Load(), q.Host)) {
+		for _, m := range n.nodesFor(n.groupOf(q.Host), q.Hall, homeRegions(n.records.table.Load(), q.Host)) {
 			addresses = append(addresses, m.GetCallerAddress())
 		}
 		if len(addresses) == 0 {
--- a/node/busy.go
+++ b/node/busy.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// busyFade is the part of a peak of requests in flight that is left a tick later: half of it after 7 s.
-	busyFade = 0.99
-	// busySmooth is over how many ticks requests in flight are averaged.
-	busySmooth = 8
-	// demandEvery is how often the demand of each hall is summed.
-	demandEvery = 500 * clock.Millis(1)
+	// peakDecay is the part of a peak of requests in flight that is left a tick later: half of it after 7 s.
+	peakDecay = 0.99
+	// smoothingTicks is over how many ticks requests in flight are averaged.
+	smoothingTicks = 8
+	// demandInterval is how often the demand of each hall is summed.
+	demandInterval = 500 * clock.Millis(1)
 )
 
 // demand is how much work each hall has, by the word of its nodes: a few carry it where targets have many slots more
@@ -40,9 +40,9 @@
 	n := d.node
 	now := n.clock.Now()
 	d.mu.Lock()
-	d.mean += (float64(n.leaving.busy.Load()) - d.mean) / busySmooth
-	d.peak = max(d.mean, d.peak*busyFade)
-	due := now-d.summedAt >= demandEvery
+	d.mean += (float64(n.leaving.busy.Load()) - d.mean) / smoothingTicks
+	d.peak = max(d.mean, d.peak*peakDecay)
+	due := now-d.summedAt >= demandInterval
 	if due {
 		d.summedAt = now
 	}
@@ -51,22 +51,22 @@
 	if !due {
 		return
 	}
-	n.members.SetBusy(step(peak))
-	if d.sum() {
+	n.members.SetBusy(nextPowerOfTwo(peak))
+	if d.updateTotals() {
 		n.carriers.demandChanged()
 	}
 }
 
-// step rounds up to a power of two, so that little is told.
-func step(n uint32) uint32 {
+// nextPowerOfTwo rounds up to a power of two, so that little is told.
+func nextPowerOfTwo(n uint32) uint32 {
 	if n == 0 {
 		return 0
 	}
 	return 1 << bits.Len32(n-1)
 }
 
-// sum adds up what the nodes of each hall say, and returns whether that changes who carries its work.
-func (d *demand) sum() bool {
+// updateTotals adds up what the nodes of each hall say, and returns whether that changes who carries its work.
+func (d *demand) updateTotals() bool {
 	n := d.node
 	byHall := map[ident.Hall]int{n.hall(): int(n.members.Self().GetBusy())}
 	for _, m := range n.members.Live() {
@@ -76,7 +76,7 @@
 	defer d.mu.Unlock()
 	next := map[ident.Hall]int{}
 	for hall, busy := range byHall {
-		next[hall] = held(d.byHall[hall], int(step(uint32(busy))))
+		next[hall] = withHysteresis(d.byHall[hall], int(nextPowerOfTwo(uint32(busy))))
 	}
 	if maps.Equal(next, d.byHall) {
 		return false
@@ -86,16 +86,16 @@
 	return true
 }
 
-// held takes over more at once, and less only once it is less than half: carriers change little.
-func held(old, now int) int {
+// withHysteresis takes over more at once, and less only once it is less than half: carriers change little.
+func withHysteresis(old, now int) int {
 	if now > old || 2*now < old {
 		return now
 	}
 	return old
 }
 
-// of returns how many requests the hall has in flight.
-func (d *demand) of(hall ident.Hall) int {
+// inFlight returns how many requests the hall has in flight.
+func (d *demand) inFlight(hall ident.Hall) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.byHall[hall]
--- a/node/carriers.go
+++ b/node/carriers.go
@@ -197,7 +197,7 @@
 		all += n
 	}
 	share := float64(slots) / float64(max(all, 1))
-	used := share * float64(c.node.demand.of(k.hall)*demandHeadroom)
+	used := share * float64(c.node.demand.inFlight(k.hall)*demandHeadroom)
 	slots = (slots + halls - 1) / halls
 	return min(slots, max(int(used), int(minSlotShare*float64(slots)))), minCarriersPerHall
 }
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -35,8 +35,8 @@
 	return byHall
 }
 
-// tellEvacuations tells the log of halls that are evacuated, or are no longer.
-func (r *records) tellEvacuations(news []replica.Record, from string) {
+// logEvacuations tells the log of halls that are evacuated, or are no longer.
+func (r *records) logEvacuations(news []replica.Record, from string) {
 	for _, x := range news {
 		event := "hall_evacuated"
 		if x.Deleted {
@@ -48,33 +48,33 @@
 	}
 }
 
-// coldMet is how long after its start a process has heard of the others.
-const coldMet = 2 * clock.Second
+// convergencePeriod is how long after its start a process has heard of the others.
+const convergencePeriod = 2 * clock.Second
 
-// A placing says how the targets of each hall and service are to be used, as of one look at all of them.
-type placing struct {
+// A placement says how the targets of each hall and service are to be used, as of one look at all of them.
+type placement struct {
 	node        *Node
 	evacuations map[ident.Hall]evacuation
 	// view is what this node sees of those that might send to cold targets; First is set for each target.
 	view warmup.View
 }
 
-func (n *Node) placing() placing {
-	return placing{node: n, evacuations: n.records.evacuations(), view: n.coldView()}
+func (n *Node) newPlacement() placement {
+	return placement{node: n, evacuations: n.records.evacuations(), view: n.warmupView()}
 }
 
-// coldView is what this node sees of those that might send to cold targets.
-func (n *Node) coldView() warmup.View {
+// warmupView is what this node sees of those that might send to cold targets.
+func (n *Node) warmupView() warmup.View {
 	now := n.clock.Now()
 	live := len(n.members.Live()) + 1
 	return warmup.View{
-		Live: live, PeakLive: n.quotas.known.see(live, now), Converged: now-n.duty.since >= coldMet && !n.peers.lonely(),
+		Live: live, PeakLive: n.quotas.peakLive.see(live, now), Converged: now-n.duty.since >= convergencePeriod && !n.peers.lonely(),
 	}
 }
 
-// cold returns until when what the target gets from all nodes together is bounded, and this node's part of that by the
+// warmupLimit returns until when what the target gets from all nodes together is bounded, and this node's part of that by the
 // second; 0 and 0 if it is not bounded.
-func (p placing) cold(t target, turn int) (until clock.Millis, perSecond float64) {
+func (p placement) warmupLimit(t target, turn int) (until clock.Millis, perSecond float64) {
 	table := p.node.records.table.Load()
 	if table == nil {
 		return 0, 0
--- a/node/events.go
+++ b/node/events.go
@@ -16,12 +16,12 @@
 	eventsPrefix = "events/"
 	// maxEvents bounds the events held while the object store is away.
 	maxEvents = 10_000
-	// eventsPause is the least time between batches, and eventsPerNode what each node of the
+	// minBatchInterval is the least time between batches, and eventsPerNode what each node of the
 	// fleet adds to it, to stay within the platform's write rate.
-	eventsPause                = 10 * clock.Second
-	eventsPerNode clock.Millis = 50
-	// eventsPage is how many batches one read asks for.
-	eventsPage = 500
+	minBatchInterval                  = 10 * clock.Second
+	batchIntervalPerNode clock.Millis = 50
+	// eventsPageSize is how many batches one read asks for.
+	eventsPageSize = 500
 	// eventsOverlap is how much earlier than asked reading begins: a batch is named by the
 	// time it was saved, and a late clock must not hide it.
 	eventsOverlap = 2 * clock.Second
@@ -45,8 +45,8 @@
 	seq      uint64
 	lastSave clock.Millis
 	nodes    int
-	// wanted says that operators read what is saved.
-	wanted bool
+	// enabled says that operators read what is saved.
+	enabled bool
 	// saving has one place, for who saves.
 	saving chan struct{}
 }
@@ -72,8 +72,8 @@
 	l.pending = append(l.pending, e)
 }
 
-// failed counts a request that ended without a target's whole answer.
-func (l *eventLog) failed(service string, o Outcome) {
+// countFailure counts a request that ended without a target's whole answer.
+func (l *eventLog) countFailure(service string, o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.failures) < maxEvents {
@@ -81,8 +81,8 @@
 	}
 }
 
-// setNodes says how many nodes share the platform's write rate.
-func (l *eventLog) setNodes(n int) {
+// setNodeCount says how many nodes share the platform's write rate.
+func (l *eventLog) setNodeCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = n
@@ -91,7 +91,7 @@
 // tick saves a batch when it is time to.
 func (l *eventLog) tick(ctx context.Context) {
 	l.mu.Lock()
-	due := l.clock.Now()-l.lastSave >= max(eventsPause, eventsPerNode*clock.Millis(l.nodes))
+	due := l.clock.Now()-l.lastSave >= max(minBatchInterval, batchIntervalPerNode*clock.Millis(l.nodes))
 	l.mu.Unlock()
 	if due {
 		l.flush(ctx)
@@ -101,7 +101,7 @@
 // flush saves what is pending, once a save that is under way has ended: its events would be saved twice. What could not
 // be saved is kept.
 func (l *eventLog) flush(ctx context.Context) {
-	if !l.wanted {
+	if !l.enabled {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Second.Duration())
@@ -114,7 +114,7 @@
 	}
 	l.mu.Lock()
 	l.lastSave = l.clock.Now()
-	l.gather()
+	l.appendCounts()
 	batch := l.pending
 	l.seq++
 	name := fmt.Sprintf("%s%013d-%s-%d-%d", eventsPrefix, l.lastSave, l.self.Node, l.self.Incarnation, l.seq)
@@ -131,11 +131,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop(batch)
+	l.removeSaved(batch)
 }
 
-// gather turns counts into events. The caller holds the lock.
-func (l *eventLog) gather() {
+// appendCounts turns counts into events. The caller holds the lock.
+func (l *eventLog) appendCounts() {
 	for k, n := range l.failures {
 		e := &tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_FAILED_REQUESTS, Service: k.service, Count: n, Reason: string(k.outcome)}
 		if svc, err := ident.ParseService(k.service); err == nil {
@@ -151,9 +151,9 @@
 	}
 }
 
-// drop removes saved events. Some may have gone already, for want of room. The caller holds the
+// removeSaved removes saved events. Some may have gone already, for want of room. The caller holds the
 // lock.
-func (l *eventLog) drop(saved []*tlv1.Event) {
+func (l *eventLog) removeSaved(saved []*tlv1.Event) {
 	last := saved[len(saved)-1]
 	for i, e := range l.pending {
 		if e == last {
@@ -167,9 +167,9 @@
 func (l *eventLog) since(ctx context.Context, w ident.Workspace, from clock.Millis) (events []*tlv1.Event, err error) {
 	after := fmt.Sprintf("%s%013d", eventsPrefix, max(from-eventsOverlap, 0))
 	for {
-		objects, err := l.objects.List(ctx, eventsPrefix, after, eventsPage)
+		objects, err := l.objects.List(ctx, eventsPrefix, after, eventsPageSize)
 		if err != nil {
-			return l.own(w, from), err
+			return l.unsaved(w, from), err
 		}
 		for _, o := range objects {
 			b := &tlv1.EventBatch{}
@@ -179,16 +179,16 @@
 			events = append(events, filter(b.GetEvents(), w, from)...)
 			after = o.Name
 		}
-		if len(objects) < eventsPage {
-			return append(events, l.own(w, from)...), nil
+		if len(objects) < eventsPageSize {
+			return append(events, l.unsaved(w, from)...), nil
 		}
 	}
 }
 
-func (l *eventLog) own(w ident.Workspace, from clock.Millis) []*tlv1.Event {
+func (l *eventLog) unsaved(w ident.Workspace, from clock.Millis) []*tlv1.Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gather()
+	l.appendCounts()
 	return filter(l.pending, w, from)
 }
 
--- a/node/events_test.go
+++ b/node/events_test.go
@@ -39,7 +39,7 @@
 	is := is.New(t)
 	o := &slowObjects{}
 	l := newEventLog(ident.Process{Node: "n"}, o, clock.NewSystem())
-	l.wanted = true
+	l.enabled = true
 	l.add(&tlv1.Event{})
 	var wg sync.WaitGroup
 	wg.Go(func() { l.tick(t.Context()) })
--- a/node/front.go
+++ b/node/front.go
@@ -86,7 +86,7 @@
 	}
 	x := newExchange(n, w, r, route, n.platform.Speech.Headers)
 	x.keyed = t.Access != nil
-	x.halls = n.hallsFor(route, space)
+	x.halls = n.allowedHalls(route, space)
 	if problem := x.late(NotRun); problem != nil || space == nil {
 		return x, problem
 	}
--- a/node/limiter.go
+++ b/node/limiter.go
@@ -21,9 +21,9 @@
 	return &limiter{total: total, used: map[ident.Workspace]int{}}
 }
 
-// enter counts a request in, unless the workspace is over its own limit, or has taken more than
+// acquire counts a request in, unless the workspace is over its own limit, or has taken more than
 // is still free: one workspace alone gets half, and later ones always find some.
-func (l *limiter) enter(w ident.Workspace, limit int) bool {
+func (l *limiter) acquire(w ident.Workspace, limit int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.used[w]
@@ -35,8 +35,8 @@
 	return true
 }
 
-// leave counts a request out.
-func (l *limiter) leave(w ident.Workspace) {
+// release counts a request out.
+func (l *limiter) release(w ident.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sum--
--- a/node/node.go
+++ b/node/node.go
@@ -153,7 +153,7 @@
 	n.compares = newCompares(n.clock, s.Capacity.Cores, s.Capacity.LinkMbps)
 	n.packs = newPacks(n)
 	n.events = newEventLog(n.self, n.platform.Objects, n.clock)
-	n.events.wanted = s.Node.Operators != ""
+	n.events.enabled = s.Node.Operators != ""
 	n.leaving = newLeaving(n)
 	n.watch = newMemberWatch(n)
 	n.traffic = newTraffic(n)
@@ -307,7 +307,7 @@
 	n.watch.tick()
 	n.traffic.tick()
 	n.suspects.tick()
-	n.events.setNodes(len(n.members.Live()) + 1)
+	n.events.setNodeCount(len(n.members.Live()) + 1)
 }
 
 func (n *Node) close() {
--- a/node/own.go
+++ b/node/own.go
@@ -57,13 +57,13 @@
 		n.refuse(w, r, Problem{Status: http.StatusNotFound, Outcome: blank(r), Detail: "no such service or route"})
 	case twice:
 		n.refuse(w, r, Problem{Status: http.StatusBadRequest, Outcome: blank(r), Detail: otherRoute})
-	case !n.limiter.enter(ws, space.concurrency()):
+	case !n.limiter.acquire(ws, space.concurrency()):
 		n.refuse(w, r, Problem{
 			Status: http.StatusTooManyRequests, Outcome: blank(r), RetryAfter: passPause,
 			Detail: "the workspace has its share of this node in use",
 		})
 	default:
-		defer n.limiter.leave(ws)
+		defer n.limiter.release(ws)
 		n.runOwn(w, r, route, passed)
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -116,7 +116,7 @@
 	n.members.Merge(req.Msg.GetMembers())
 	res := &tlv1.SyncResponse{
 		Kinds: n.duty.kindSums(), StoreNow: int64(n.duty.proof.Latest(n.clock.Now())),
-		Known: uint32(n.quotas.known.see(len(n.members.Live())+1, n.clock.Now())),
+		Known: uint32(n.quotas.peakLive.see(len(n.members.Live())+1, n.clock.Now())),
 	}
 	for _, theirs := range req.Msg.GetKinds() {
 		switch k := store.Kind(theirs.GetKind()); {
@@ -361,7 +361,7 @@
 		return false
 	}
 	n.duty.proof.ObserveLatest(begun, clock.Millis(res.Msg.GetStoreNow()))
-	n.quotas.known.see(int(res.Msg.GetKnown()), n.clock.Now())
+	n.quotas.peakLive.see(int(res.Msg.GetKnown()), n.clock.Now())
 	records := p.takeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
 		n.records.hear(r, address)
--- a/node/records.go
+++ b/node/records.go
@@ -88,7 +88,7 @@
 	case store.Suspects:
 		r.node.suspects.take(news, from)
 	case store.Evacuations:
-		r.tellEvacuations(news, from)
+		r.logEvacuations(news, from)
 	}
 	switch k {
 	case store.Targets:
--- a/node/regions.go
+++ b/node/regions.go
@@ -10,9 +10,9 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// hallsFor returns the halls whose targets may have a request, by the regions that its route and its workspace allow; nil
+// allowedHalls returns the halls whose targets may have a request, by the regions that its route and its workspace allow; nil
 // stands for all.
-func (n *Node) hallsFor(route *desired.Route, space *access.Workspace) map[ident.Hall]bool {
+func (n *Node) allowedHalls(route *desired.Route, space *access.Workspace) map[ident.Hall]bool {
 	var of []ident.Region
 	if space != nil {
 		of = space.Regions
@@ -33,8 +33,8 @@
 	return len(regions) == 0 || slices.Contains(regions, r)
 }
 
-// isAbroad says whether the hall is known to be in another region than this node.
-func (n *Node) isAbroad(h ident.Hall) bool {
+// inOtherRegion says whether the hall is known to be in another region than this node.
+func (n *Node) inOtherRegion(h ident.Hall) bool {
 	own, known := n.settings().Halls[string(n.hall())]
 	region, found := n.settings().Halls[string(h)]
 	return known && found && own != region
@@ -51,8 +51,8 @@
 	return list
 }
 
-// homes returns the regions that may serve all requests for the host; nil if no route of it is bound to some.
-func homes(t *desired.Table, host string) (regions []ident.Region) {
+// homeRegions returns the regions that may serve all requests for the host; nil if no route of it is bound to some.
+func homeRegions(t *desired.Table, host string) (regions []ident.Region) {
 	if t == nil {
 		return nil
 	}
--- a/node/services.go
+++ b/node/services.go
@@ -195,7 +195,7 @@
 		carried[name] = s.node.carriers.carries(name)
 	}
 	s.trialRanks.update(s.node.carriers)
-	place := s.node.placing()
+	place := s.node.newPlacement()
 	for _, t := range known {
 		if only != nil && !only[t.service] {
 			continue
@@ -205,10 +205,10 @@
 		if carried[t.service] && (near || !slices.Contains(halls, t.hall)) {
 			trialRank = s.trialRanks.rank(t, near)
 		}
-		until, rate := place.cold(t, trialRank)
+		until, rate := place.warmupLimit(t, trialRank)
 		byService[t.service] = append(byService[t.service], pool.Target{
 			ID: t.id, Address: t.address, Slots: t.slots, Leaving: t.leaving, WarmAt: max(t.warmAt, until), Life: t.life,
-			Hall: t.hall, SameHall: near, OtherRegion: s.node.isAbroad(t.hall), Assigned: trialRank >= 0, TrialRank: max(trialRank, 0),
+			Hall: t.hall, SameHall: near, OtherRegion: s.node.inOtherRegion(t.hall), Assigned: trialRank >= 0, TrialRank: max(trialRank, 0),
 			Evacuated: place.evacuations[t.hall].inForce, WarmupUntil: until, WarmupRate: rate,
 		})
 	}
@@ -327,7 +327,7 @@
 			_, _ = x.WriteString(m.GetNode() + "\x00")
 		}
 	}
-	if s.node.coldView().MaySend() {
+	if s.node.warmupView().MaySend() {
 		_, _ = x.WriteString("\x02")
 	}
 	return x.Sum64()
@@ -470,7 +470,7 @@
 func (s *services) tick() {
 	s.mu.Lock()
 	v, g := s.node.members.Version(), s.node.carriers.currentGeneration()
-	sends := s.node.coldView().MaySend()
+	sends := s.node.warmupView().MaySend()
 	changed, stale := v != s.membersVersion || g != s.carriersGeneration || sends != s.maySend, s.stale
 	s.membersVersion, s.carriersGeneration, s.maySend = v, g, sends
 	s.mu.Unlock()
--- a/node/wire.go
+++ b/node/wire.go
@@ -175,7 +175,7 @@
 		case *tlv1.Parcel_Borrow:
 			n.quotas.lend(b.Borrow)
 		case *tlv1.Parcel_Lend:
-			n.quotas.borrowed(b.Lend)
+			n.quotas.addLoan(b.Lend)
 		case *tlv1.Parcel_Suspects:
 			n.suspects.hear(b.Suspects)
 		}
