--- a/node/events.go
+++ b/node/events.go
@@ -14,16 +14,16 @@
 
 const (
 	eventsPrefix = "events/"
-	// maxEvents bounds the events held while the object store is away.
+	// maxEvents is the maximum number of events held while the object store is unavailable.
 	maxEvents = 10_000
-	// minBatchInterval is the least time between batches, and eventsPerNode what each node of the
-	// fleet adds to it, to stay within the platform's write rate.
+	// The interval between batches is at least minBatchInterval and grows by batchIntervalPerNode for each node of the fleet,
+	// to stay within the platform's write rate.
 	minBatchInterval                  = 10 * clock.Second
 	batchIntervalPerNode clock.Millis = 50
-	// eventsPageSize is how many batches one read asks for.
+	// eventsPageSize is the number of batches per read.
 	eventsPageSize = 500
-	// eventsOverlap is how much earlier than asked reading begins: a batch is named by the
-	// time it was saved, and a late clock must not hide it.
+	// eventsOverlap is how much earlier than requested a read starts: batches are named by the time at which they were saved,
+	// and a node whose clock is behind must not be missed.
 	eventsOverlap = 2 * clock.Second
 )
 
@@ -32,7 +32,7 @@
 	outcome Outcome
 }
 
-// An eventLog keeps what this node did by itself in the object store, for the morning.
+// An eventLog saves what this node did on its own to the object store, for the operators' report.
 type eventLog struct {
 	self    ident.Process
 	objects store.Objects
@@ -45,9 +45,9 @@
 	seq      uint64
 	lastSave clock.Millis
 	nodes    int
-	// enabled says that operators read what is saved.
+	// enabled reports whether operators read the saved events.
 	enabled bool
-	// saving has one place, for who saves.
+	// saving is a semaphore of one, held while a batch is saved.
 	saving chan struct{}
 }
 
@@ -55,7 +55,7 @@
 	return &eventLog{self: self, objects: o, clock: c, failures: map[failureKey]uint64{}, nodes: 1, saving: make(chan struct{}, 1)}
 }
 
-// add keeps an event until it is saved. When too many wait, the oldest go, and are counted.
+// add keeps an event until it is saved. Beyond maxEvents the oldest are dropped and counted.
 func (l *eventLog) add(e *tlv1.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	l.pending = append(l.pending, e)
 }
 
-// countFailure counts a request that ended without a target's whole answer.
+// countFailure counts a request that ended without a target's complete response.
 func (l *eventLog) countFailure(service string, o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,14 +81,14 @@
 	}
 }
 
-// setNodeCount says how many nodes share the platform's write rate.
+// setNodeCount sets how many nodes share the platform's write rate.
 func (l *eventLog) setNodeCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = n
 }
 
-// tick saves a batch when it is time to.
+// tick saves a batch when one is due.
 func (l *eventLog) tick(ctx context.Context) {
 	l.mu.Lock()
 	due := l.clock.Now()-l.lastSave >= max(minBatchInterval, batchIntervalPerNode*clock.Millis(l.nodes))
@@ -98,8 +98,8 @@
 	}
 }
 
-// flush saves what is pending, once a save that is under way has ended: its events would be saved twice. What could not
-// be saved is kept.
+// flush saves the pending events. It waits for a save in progress, whose events would otherwise be saved twice. Events that
+// could not be saved are kept.
 func (l *eventLog) flush(ctx context.Context) {
 	if !l.enabled {
 		return
@@ -134,7 +134,7 @@
 	l.removeSaved(batch)
 }
 
-// appendCounts turns counts into events. The caller holds the lock.
+// appendCounts turns counters into events. The caller holds the lock.
 func (l *eventLog) appendCounts() {
 	for k, n := range l.failures {
 		e := &tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_FAILED_REQUESTS, Service: k.service, Count: n, Reason: string(k.outcome)}
@@ -151,8 +151,7 @@
 	}
 }
 
-// removeSaved removes saved events. Some may have gone already, for want of room. The caller holds the
-// lock.
+// removeSaved removes saved events, some of which may have been dropped for lack of room already. The caller holds the lock.
 func (l *eventLog) removeSaved(saved []*tlv1.Event) {
 	last := saved[len(saved)-1]
 	for i, e := range l.pending {
@@ -163,7 +162,7 @@
 	}
 }
 
-// since returns the saved and unsaved events of a workspace; all workspaces if it is empty.
+// since returns the saved and unsaved events of a workspace, or of all workspaces if it is empty.
 func (l *eventLog) since(ctx context.Context, w ident.Workspace, from clock.Millis) (events []*tlv1.Event, err error) {
 	after := fmt.Sprintf("%s%013d", eventsPrefix, max(from-eventsOverlap, 0))
 	for {
