--- a/node/quotas.go
+++ b/node/quotas.go
@@ -18,40 +18,39 @@
 )
 
 const (
-	// loanTimeout is how long a request waits for what this node asks others for: a way between halls and back,
-	// several times.
+	// loanTimeout is how long a request waits for a loan from other nodes: several round trips between halls.
 	loanTimeout clock.Millis = 25
 	// startupLoanTimeout is the same on a process that has just started.
 	startupLoanTimeout clock.Millis = 300
-	// maxRemoteLenders is how many nodes of other halls are asked beside those of this one.
+	// maxRemoteLenders is how many nodes of other halls are asked for a loan, besides all sharers of this hall.
 	maxRemoteLenders = 6
-	// startupPeriod is for how long a process that has started takes others for unknown to it, and aloneFor for how long
-	// one that should meet others and has not takes itself for cut off.
+	// startupPeriod is how long after its start a process assumes that it does not know all nodes yet. isolationPeriod is how
+	// long one that should be in contact with others and is not considers itself isolated.
 	startupPeriod   = 2 * clock.Second
 	isolationPeriod = 1 * clock.Minute
-	// settledPeriod is for how long no other node must have become known for all to be.
+	// settledPeriod is how long the number of live nodes must stay the same for all to be considered known.
 	settledPeriod clock.Millis = 350
-	// coldStartWindow is how far apart processes may have started, by their VMs' clocks, to have started at once; freshOld
-	// is the share of others that may be older.
+	// coldStartWindow is the maximum difference between the start times of processes that started together, by the clocks of
+	// their VMs. coldStartOldShare is the share of nodes that may have started earlier.
 	coldStartWindow   = 3 * clock.Second
 	coldStartOldShare = 0.05
 )
 
-// quotas holds workspaces to their limits over the fleet: it moves what nodes lend each other.
+// quotas enforces workspace limits across the fleet: nodes lend each other shares of a limit.
 type quotas struct {
 	node     *Node
 	table    *limit.Table
 	peakLive peak
-	// reachedAllSeeds says that this process has heard all of the nodes that its settings name at the same time.
+	// reachedAllSeeds is set once this process has been in contact with all configured seeds at the same time.
 	reachedAllSeeds atomic.Bool
-	// hasEnoughPeers says that this node heard enough others to know its part when last looked.
+	// hasEnoughPeers reports whether this node was in contact with enough others to know its share, as of the last tick.
 	hasEnoughPeers atomic.Bool
 
 	mu sync.Mutex
-	// live is how many nodes were heard when last looked, and liveAt since when it has been so many.
+	// live is the number of live nodes at the last check, and liveChangedAt the time at which it last changed.
 	live          int
 	liveChangedAt clock.Millis
-	// loanArrived is closed when something was lent to this node.
+	// loanArrived is closed and replaced when a loan arrives.
 	loanArrived chan struct{}
 }
 
@@ -61,7 +60,7 @@
 	return &quotas{node: n, table: limit.New(n.clock, b), peakLive: peak{keep: limitKnownFor}, loanArrived: make(chan struct{})}
 }
 
-// tick follows who shares the limits.
+// tick follows changes of the nodes that share the limits.
 func (q *quotas) tick() {
 	v := q.view()
 	q.hasEnoughPeers.Store(v.HasEnoughPeers())
@@ -73,7 +72,7 @@
 	}
 }
 
-// view is what this node sees of those that share limits.
+// view returns this node's view of the nodes that share the limits.
 func (q *quotas) view() limit.View {
 	n := q.node
 	now := n.clock.Now()
@@ -94,8 +93,8 @@
 	return v
 }
 
-// seedsReached returns how many nodes the settings name, and how many of them are heard, while the process has not met all of
-// them at once yet. After a while those are taken for gone.
+// seedsReached returns the number of configured seeds and how many of them are in contact. It returns 0, 0 once all have been
+// reached at the same time, and after isolationPeriod, when the missing ones are considered gone.
 func (q *quotas) seedsReached() (named, met int) {
 	n := q.node
 	seeds := slices.Compact(slices.Sorted(slices.Values(n.settings().Fleet.Seeds)))
@@ -115,7 +114,7 @@
 	return len(seeds), met
 }
 
-// isColdStart says whether nearly all nodes that are known have started when this one did.
+// isColdStart reports whether nearly all known nodes started together with this one.
 func (q *quotas) isColdStart() bool {
 	n := q.node
 	old := 0
@@ -128,8 +127,8 @@
 	return float64(old) <= coldStartOldShare*float64(len(live))
 }
 
-// admit says whether the workspace may make a request now. If not it says when to come back, and whether this node
-// knows that the limit is reached: one that hears too few others has no part of it.
+// admit reports whether the workspace may make a request now. If not, it returns when to retry, and whether the limit is known
+// to be reached: a node that is in contact with too few others has no share of it.
 func (q *quotas) admit(ctx context.Context, w *access.Workspace) (admitted bool, wait clock.Millis, reached bool) {
 	if !w.Rate.Bounded() {
 		return true, 0, false
@@ -144,8 +143,8 @@
 	return false, q.table.Refuse(w.Name, w.Rate), q.hasEnoughPeers.Load()
 }
 
-// waitForLoan waits for what other nodes were asked for, if they were just now. On a process that has just started it
-// waits longer: the others become known one after the other.
+// waitForLoan waits for a loan that was requested just now. A process that has just started waits longer, since it discovers
+// the other nodes one by one.
 func (q *quotas) waitForLoan(ctx context.Context, w *access.Workspace) bool {
 	wait := loanTimeout
 	if q.justStarted() {
@@ -174,8 +173,8 @@
 	return admitted
 }
 
-// justStarted says whether this process has just started, and may not know yet who else there is: others become known one
-// after the other, and then no more.
+// justStarted reports whether this process started recently and may not know all nodes yet: the number of live nodes has
+// not settled.
 func (q *quotas) justStarted() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -183,7 +182,7 @@
 	return now-q.node.duty.since < startupPeriod && now-q.liveChangedAt < settledPeriod
 }
 
-// observeLive notes how many nodes are heard.
+// observeLive records the number of live nodes.
 func (q *quotas) observeLive(live int, now clock.Millis) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -192,14 +191,14 @@
 	}
 }
 
-// loanArrival returns what is closed when something is lent.
+// loanArrival returns a channel that is closed when the next loan arrives.
 func (q *quotas) loanArrival() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.loanArrived
 }
 
-// requestLoan asks those of this hall that share the limit, and some of the other halls by chance.
+// requestLoan asks all sharers of this hall and some random ones of other halls.
 func (q *quotas) requestLoan(x *limit.LoanRequest) {
 	n := q.node
 	var near, far []string
@@ -218,7 +217,7 @@
 	}}}, append(near, far[:min(maxRemoteLenders, len(far))]...)...)
 }
 
-// lend hands over a part of what this node may admit, if it can spare any.
+// lend gives a share of what this node may admit to the requesting node, if it can spare any.
 func (q *quotas) lend(b *tlv1.Borrow) {
 	t := q.node.records.table.Load()
 	if t == nil || t.Access == nil || b.GetNode() == string(q.node.self.Node) {
@@ -237,7 +236,7 @@
 	}}}, b.GetAddress())
 }
 
-// addLoan takes in what another node hands over.
+// addLoan takes in a loan from another node.
 func (q *quotas) addLoan(x *tlv1.Lend) {
 	q.table.AddLoan(ident.Workspace(x.GetWorkspace()), ident.Node(x.GetNode()), x.GetAmount(), x.GetSeq())
 	q.mu.Lock()
@@ -246,12 +245,12 @@
 	q.loanArrived = make(chan struct{})
 }
 
-// A limitTicket gives back what was taken for a request that did not run.
+// A limitTicket refunds the limit for a request that did not run.
 type limitTicket struct {
 	noTicket
 	table     *limit.Table
 	workspace ident.Workspace
-	// at is when it was taken.
+	// at is when the limit was charged.
 	at clock.Millis
 }
 
