--- a/node/limiter.go
+++ b/node/limiter.go
@@ -6,8 +6,7 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A limiter shares one node's concurrency among workspaces. It is safe for concurrent
-// use.
+// A limiter divides one node's concurrency among workspaces. It is safe for concurrent use.
 type limiter struct {
 	total int
 
@@ -16,13 +15,13 @@
 	sum  int
 }
 
-// newLimiter returns a limiter of total requests at a time.
+// newLimiter returns a limiter that admits total requests at a time.
 func newLimiter(total int) *limiter {
 	return &limiter{total: total, used: map[ident.Workspace]int{}}
 }
 
-// acquire counts a request in, unless the workspace is over its own limit, or has taken more than
-// is still free: one workspace alone gets half, and later ones always find some.
+// acquire admits a request unless the workspace is at its own limit or uses as much as is still free. A single workspace thus
+// gets at most half, and later ones always find some capacity.
 func (l *limiter) acquire(w ident.Workspace, limit int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +34,7 @@
 	return true
 }
 
-// release counts a request out.
+// release ends a request that acquire admitted.
 func (l *limiter) release(w ident.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +45,7 @@
 	}
 }
 
-// inUse returns how many requests are counted in.
+// inUse returns the number of admitted requests.
 func (l *limiter) inUse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
