--- a/node/regions.go
+++ b/node/regions.go
@@ -10,8 +10,8 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// allowedHalls returns the halls whose targets may have a request, by the regions that its route and its workspace allow; nil
-// stands for all.
+// allowedHalls returns the halls whose targets may get a request, by the regions that its route and its workspace allow; nil
+// stands for all halls.
 func (n *Node) allowedHalls(route *desired.Route, space *access.Workspace) map[ident.Hall]bool {
 	var of []ident.Region
 	if space != nil {
@@ -28,19 +28,19 @@
 	return halls
 }
 
-// allows says whether the region is one of those named, if any are.
+// allows reports whether the list is empty or contains the region.
 func allows(regions []ident.Region, r ident.Region) bool {
 	return len(regions) == 0 || slices.Contains(regions, r)
 }
 
-// inOtherRegion says whether the hall is known to be in another region than this node.
+// inOtherRegion reports whether the hall is known to be in another region than this node.
 func (n *Node) inOtherRegion(h ident.Hall) bool {
 	own, known := n.settings().Halls[string(n.hall())]
 	region, found := n.settings().Halls[string(h)]
 	return known && found && own != region
 }
 
-// knownHalls returns the halls that the settings name, and this node's own.
+// knownHalls returns this node's hall and those that the settings name.
 func (n *Node) knownHalls() []ident.Hall {
 	list := []ident.Hall{n.hall()}
 	for _, h := range slices.Sorted(maps.Keys(n.settings().Halls)) {
@@ -51,7 +51,7 @@
 	return list
 }
 
-// homeRegions returns the regions that may serve all requests for the host; nil if no route of it is bound to some.
+// homeRegions returns the regions that may serve all requests for the host; nil if none of its routes is bound to regions.
 func homeRegions(t *desired.Table, host string) (regions []ident.Region) {
 	if t == nil {
 		return nil
@@ -68,8 +68,8 @@
 	return regions
 }
 
-// byDistance sorts halls for a caller: those of its region come first, then those of the regions that may serve what it
-// asks, then all others, which it returns apart. Halls that are as far keep their order.
+// byDistance sorts halls for a caller. It returns those of the caller's region followed by those of the home regions, and
+// separately all others. Halls at the same distance keep their order.
 func (n *Node) byDistance(halls []ident.Hall, caller ident.Region, homes []ident.Region) (good, others []ident.Hall) {
 	var second []ident.Hall
 	for _, h := range halls {
@@ -85,7 +85,7 @@
 	return append(good, second...), others
 }
 
-// membersIn returns the nodes of the halls that carry the group, up to a few.
+// membersIn appends the carriers of the group in each hall to list until it has few members or more.
 func (c *carriers) membersIn(group desired.Group, halls []ident.Hall, few int, list []*tlv1.Member) []*tlv1.Member {
 	for _, h := range halls {
 		if len(list) < few {
