--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -9,15 +9,15 @@
 	"github.com/tinladder/tinladder/warmup"
 )
 
-// An evacuation is what is known of a hall that operators evacuated at some time.
+// An evacuation is the state of a hall that operators have evacuated at some time.
 type evacuation struct {
-	// inForce says that its targets are to get nothing.
+	// inForce is set while the hall's targets must not get any requests.
 	inForce bool
-	// restoredAt is when the store was read that no longer had it; its targets may have become cold by then.
+	// restoredAt is when the store was first read without the evacuation. The hall's targets may have to warm up after it.
 	restoredAt clock.Millis
 }
 
-// evacuations returns the halls that are evacuated, or were of late, by the platform's operators or by the fleet's own.
+// evacuations returns the halls that are or recently were evacuated, by operators of the platform or of the fleet's own interface.
 func (r *records) evacuations() map[ident.Hall]evacuation {
 	byHall := map[ident.Hall]evacuation{}
 	for _, x := range r.sets[store.Evacuations].All() {
@@ -35,7 +35,7 @@
 	return byHall
 }
 
-// logEvacuations tells the log of halls that are evacuated, or are no longer.
+// logEvacuations logs halls that were evacuated or restored.
 func (r *records) logEvacuations(news []replica.Record, from string) {
 	for _, x := range news {
 		event := "hall_evacuated"
@@ -48,14 +48,14 @@
 	}
 }
 
-// convergencePeriod is how long after its start a process has heard of the others.
+// convergencePeriod is how long after its start a process is assumed to know the other nodes.
 const convergencePeriod = 2 * clock.Second
 
-// A placement says how the targets of each hall and service are to be used, as of one look at all of them.
+// A placement determines the use of targets by hall and service, for one refresh of all targets.
 type placement struct {
 	node        *Node
 	evacuations map[ident.Hall]evacuation
-	// view is what this node sees of those that might send to cold targets; First is set for each target.
+	// view is this node's view of the nodes that may send to targets that are warming up; Owner is set per target.
 	view warmup.View
 }
 
@@ -63,7 +63,7 @@
 	return placement{node: n, evacuations: n.records.evacuations(), view: n.warmupView()}
 }
 
-// warmupView is what this node sees of those that might send to cold targets.
+// warmupView returns this node's view of the nodes that may send to targets that are warming up.
 func (n *Node) warmupView() warmup.View {
 	now := n.clock.Now()
 	live := len(n.members.Live()) + 1
@@ -72,8 +72,8 @@
 	}
 }
 
-// warmupLimit returns until when what the target gets from all nodes together is bounded, and this node's part of that by the
-// second; 0 and 0 if it is not bounded.
+// warmupLimit returns until when the target's rate of requests from all nodes is limited for its warm-up, and this node's share
+// of that rate in requests per second; 0 and 0 if it is not limited.
 func (p placement) warmupLimit(t target, turn int) (until clock.Millis, perSecond float64) {
 	table := p.node.records.table.Load()
 	if table == nil {
