--- a/node/busy.go
+++ b/node/busy.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// peakDecay is the part of a peak of requests in flight that is left a tick later: half of it after 7 s.
+	// peakDecay is the factor applied to the peak of requests in flight at each tick: it halves in 7 s.
 	peakDecay = 0.99
-	// smoothingTicks is over how many ticks requests in flight are averaged.
+	// smoothingTicks is the number of ticks over which requests in flight are averaged.
 	smoothingTicks = 8
-	// demandInterval is how often the demand of each hall is summed.
+	// demandInterval is the interval between two updates of the demand of each hall.
 	demandInterval = 500 * clock.Millis(1)
 )
 
-// demand is how much work each hall has, by the word of its nodes: a few carry it where targets have many slots more
-// than requests need. Each hears less, and knows more of the targets that it uses.
+// demand sums the requests in flight of each hall, as its nodes report them. Where targets have many more slots than requests
+// need, a few nodes carry them: each node then receives fewer reports and knows more of the targets that it uses.
 type demand struct {
 	node *Node
 
 	mu sync.Mutex
-	// mean and peak are of this node's requests in flight.
+	// mean and peak are those of this node's requests in flight.
 	mean, peak float64
 	summedAt   clock.Millis
 	byHall     map[ident.Hall]int
@@ -35,7 +35,7 @@
 	return &demand{node: n, byHall: map[ident.Hall]int{}}
 }
 
-// tick looks at what this node has in flight, and at the word of the others.
+// tick samples this node's requests in flight, publishes their peak, and updates the demand of all halls.
 func (d *demand) tick() {
 	n := d.node
 	now := n.clock.Now()
@@ -57,7 +57,7 @@
 	}
 }
 
-// nextPowerOfTwo rounds up to a power of two, so that little is told.
+// nextPowerOfTwo rounds up to a power of two, so that the published value changes rarely.
 func nextPowerOfTwo(n uint32) uint32 {
 	if n == 0 {
 		return 0
@@ -65,7 +65,7 @@
 	return 1 << bits.Len32(n-1)
 }
 
-// updateTotals adds up what the nodes of each hall say, and returns whether that changes who carries its work.
+// updateTotals sums the demand of each hall, and reports whether that may change the carriers.
 func (d *demand) updateTotals() bool {
 	n := d.node
 	byHall := map[ident.Hall]int{n.hall(): int(n.members.Self().GetBusy())}
@@ -86,7 +86,7 @@
 	return true
 }
 
-// withHysteresis takes over more at once, and less only once it is less than half: carriers change little.
+// withHysteresis follows increases at once, and decreases only to less than half, so that carriers change rarely.
 func withHysteresis(old, now int) int {
 	if now > old || 2*now < old {
 		return now
@@ -94,7 +94,7 @@
 	return old
 }
 
-// inFlight returns how many requests the hall has in flight.
+// inFlight returns the hall's number of requests in flight.
 func (d *demand) inFlight(hall ident.Hall) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
