--- a/node/events_test.go
+++ b/node/events_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// slowObjects takes a while to save.
+// slowObjects is an object store with slow writes.
 type slowObjects struct {
 	store.Objects
 	mu    sync.Mutex
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// TestEventsAreSavedOnce: a node ends, and saves its events, while it saves them anyway. The night's report had them twice.
+// TestEventsAreSavedOnce flushes the event log, as a node does at its end, while a periodic save is in progress. The event
+// report had these events twice.
 func TestEventsAreSavedOnce(t *testing.T) {
 	is := is.New(t)
 	o := &slowObjects{}
@@ -44,7 +45,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { l.tick(t.Context()) })
 	time.Sleep(20 * time.Millisecond)
-	l.add(&tlv1.Event{}) // which the first save does not have
+	l.add(&tlv1.Event{}) // not part of the first save
 	l.flush(t.Context())
 	wg.Wait()
 	is.Equal(o.saved, 2)
