--- a/node/regions_test.go
+++ b/node/regions_test.go
@@ -11,8 +11,8 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestRequestsStayInTheirRegions has a route whose requests only one region may serve, on nodes of all regions, and a
-// workspace that only another one may. The rows were not read: any region served them.
+// TestRequestsStayInTheirRegions has a route that only one region may serve, and sends its requests to nodes of all regions.
+// The regions of routes were not read, so that any region served them.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	f := newFleetWith(t, 3, func(int) string {
 		return "[halls]\nh0 = \"north\"\nh1 = \"north\"\nh2 = \"south\"\n"
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestDirectoryNamesNodesOfHomeRegions asks where to go for a host whose requests only the south may serve, as a caller of
-// the west, where no node is.
+// TestDirectoryNamesNodesOfHomeRegions resolves a host that only the south may serve, for a caller in the west, where there is
+// no node.
 func TestDirectoryNamesNodesOfHomeRegions(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 6, func(int) string {
