--- a/node/answer.go
+++ b/node/answer.go
@@ -88,9 +88,9 @@
 	switch {
 	case x.used == nil:
 	case err == nil:
-		x.node.suspects.good(x)
+		x.node.suspects.recordSuccess(x)
 	case errors.Is(err, errTargetBroke):
-		x.lost(context.Background(), x.used)
+		x.probeAfterLoss(context.Background(), x.used)
 	}
 }
 
@@ -197,7 +197,7 @@
 		}
 	}
 	h.Set(HeaderPassed, passToHome)
-	h.Set(HeaderCaller, callerOf(x.r))
+	h.Set(HeaderCaller, callerAddress(x.r))
 	h.Set(HeaderPeerKey, x.node.keys.doorKey())
 	h.Set(x.headers.RequestID, x.id)
 	ctx, cancel := x.context()
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -36,8 +36,8 @@
 }
 
 // logEvacuations logs halls that were evacuated or restored.
-func (r *records) logEvacuations(news []replica.Record, from string) {
-	for _, x := range news {
+func (r *records) logEvacuations(changed []replica.Record, from string) {
+	for _, x := range changed {
 		event := "hall_evacuated"
 		if x.Deleted {
 			event = "hall_restored"
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -61,7 +61,7 @@
 	head []byte
 	// space is the workspace, and on the fleet's own interface the service, that the request names by its key or token.
 	space         string
-	fingerprinted fingerprintsOnce
+	fingerprinted lazyFingerprints
 	// halls are those whose targets may have the request; nil stands for all.
 	halls map[ident.Hall]bool
 	// used is the attempt whose answer is passed on.
@@ -106,7 +106,7 @@
 		x.badBody(err, NotRun)
 		return
 	}
-	if x.heldBack(t) {
+	if x.refuseIfHeld(t) {
 		return
 	}
 	x.service.pool.RetryBudget().AddRequest()
@@ -118,7 +118,7 @@
 			x.giveUp(err, t)
 			return
 		}
-		if x.heldMeanwhile(l, t) {
+		if x.refuseIfHeldSince(l, t) {
 			return
 		}
 		a, err := x.race(ctx, l)
@@ -202,10 +202,10 @@
 	}
 	e := end{lease: t.lease, answer: a, err: err, outcome: x.outcome(ctx, a, err, t.lease, took)}
 	if e.outcome == pool.ConnectionLost {
-		e.door = x.lost(ctx, t.lease)
+		e.door = x.probeAfterLoss(ctx, t.lease)
 	}
 	if e.outcome == pool.Good && a.Rest == nil {
-		x.node.suspects.good(x)
+		x.node.suspects.recordSuccess(x)
 	}
 	t.lease.Done(e.outcome, a != nil && x.leaves(a))
 	if e.outcome == pool.Late || e.outcome == pool.ConnectionLost {
@@ -273,7 +273,7 @@
 
 // plan is what the request allows.
 func (x *exchange) plan() attempt.Policy {
-	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.MaxAttempts, SingleTarget: x.sole()}
+	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.MaxAttempts, SingleTarget: x.singleTarget()}
 }
 
 // progress is how far the request has come.
--- a/node/fingerprint.go
+++ b/node/fingerprint.go
@@ -8,10 +8,10 @@
 	"github.com/tinladder/tinladder/quarantine"
 )
 
-// fingerprintsOnce are a request's fingerprints, made when they are first asked for: attempts that run beside each other may ask.
-type fingerprintsOnce struct {
-	once sync.Once
-	made quarantine.Fingerprints
+// lazyFingerprints are a request's fingerprints, made when they are first asked for: attempts that run beside each other may ask.
+type lazyFingerprints struct {
+	once  sync.Once
+	value quarantine.Fingerprints
 }
 
 // fingerprints returns the request's fingerprints. Its body must have been read.
@@ -21,16 +21,16 @@
 		if x.stream != nil {
 			body = x.head
 		}
-		x.fingerprinted.made = quarantine.FingerprintsOf(&quarantine.Request{
-			Caller: callerOf(x.r), Workspace: x.space, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
+		x.fingerprinted.value = quarantine.FingerprintsOf(&quarantine.Request{
+			Caller: callerAddress(x.r), Workspace: x.space, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
 			Host: x.route.Host, // not as it was sent: where the host is a node's own, the next node has another one
 		})
 	})
-	return &x.fingerprinted.made
+	return &x.fingerprinted.value
 }
 
-// callerOf returns the address of whoever sent the request to the fleet.
-func callerOf(r *http.Request) string {
+// callerAddress returns the address of whoever sent the request to the fleet.
+func callerAddress(r *http.Request) string {
 	if caller := r.Header.Get(HeaderCaller); caller != "" {
 		return caller // another node passed it on
 	}
--- a/node/heldback.go
+++ b/node/heldback.go
@@ -8,26 +8,26 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// lost looks whether a target's process has ended on which an attempt lost its connection, and tells the quarantine if
+// probeAfterLoss looks whether a target's process has ended on which an attempt probeAfterLoss its connection, and tells the quarantine if
 // so. A cut link, a hang or a connection that the target closed leaves its door open or out of sight: no request is to
 // blame for these. A target that is leaving may end with requests at work.
-func (x *exchange) lost(ctx context.Context, l *pool.Lease) forward.ProbeResult {
-	door := x.node.conns.Probe(ctx, l.Address)
-	if door == forward.Refused && !l.Leaving() {
-		x.node.suspects.crashed(x, l.Target, l.Start())
+func (x *exchange) probeAfterLoss(ctx context.Context, l *pool.Lease) forward.ProbeResult {
+	result := x.node.conns.Probe(ctx, l.Address)
+	if result == forward.Refused && !l.Leaving() {
+		x.node.suspects.recordCrash(x, l.Target, l.Start())
 	}
-	return door
+	return result
 }
 
-// sole says whether the request may go to one target only: a trial, or one under which several have crashed.
-func (x *exchange) sole() bool {
+// singleTarget says whether the request may go to one target only: a trial, or one under which several have crashed.
+func (x *exchange) singleTarget() bool {
 	v, _ := x.node.suspects.decide(x)
 	return x.verdict.Held || v.SingleAttempt()
 }
 
-// heldMeanwhile refuses a request that is held back since it began, while it waited or by an attempt of its own. One that
+// refuseIfHeldSince refuses a request that is held back since it began, while it waited or by an attempt of its own. One that
 // was let through for a trial goes on, and one that was lost with targets that may have ended of something else.
-func (x *exchange) heldMeanwhile(l *pool.Lease, t ticket) bool {
+func (x *exchange) refuseIfHeldSince(l *pool.Lease, t ticket) bool {
 	v, p := x.node.suspects.decide(x)
 	if x.verdict.Held || !v.Held || x.ran > 0 && !v.SingleAttempt() {
 		return false
@@ -44,9 +44,9 @@
 // errHeldBack says that a request is held back that a target may have run.
 var errHeldBack = errors.New("the request is held back, since targets crashed that ran it")
 
-// heldBack refuses the request if it is held back, and says whether it did.
-func (x *exchange) heldBack(t ticket) bool {
-	v, p := x.node.suspects.judge(x.r.Context(), x)
+// refuseIfHeld refuses the request if it is held back, and says whether it did.
+func (x *exchange) refuseIfHeld(t ticket) bool {
+	v, p := x.node.suspects.check(x.r.Context(), x)
 	x.verdict = v
 	if p == nil {
 		return false
--- a/node/lift.go
+++ b/node/lift.go
@@ -21,7 +21,7 @@
 	res := &tlv1.QuarantineResponse{}
 	now := s.node.clock.Now()
 	for _, c := range s.node.suspects.list.All() {
-		if !op.may(workspaceIn(c.Service)) {
+		if !op.may(serviceWorkspace(c.Service)) {
 			continue
 		}
 		_, since, _ := s.node.suspects.list.Get(c.Fingerprint)
@@ -50,7 +50,7 @@
 	}
 	n := s.node
 	c, _, found := n.suspects.list.Get(p)
-	if !found || !op.may(workspaceIn(c.Service)) {
+	if !found || !op.may(serviceWorkspace(c.Service)) {
 		return nil, connect.NewError(connect.CodeNotFound, errNotHeld)
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookTimeout.Duration())
@@ -58,8 +58,8 @@
 	stored := true
 	for _, like := range n.suspects.list.All() {
 		if like.Description == c.Description && like.Service == c.Service { // what it is known by besides
-			n.suspects.clear(like.Fingerprint, op.name)
-			err := n.suspects.save(ctx, like.Fingerprint, 0)
+			n.suspects.clearOnAllNodes(like.Fingerprint, op.name)
+			err := n.suspects.saveRow(ctx, like.Fingerprint, 0)
 			stored = stored && err == nil
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -269,7 +269,7 @@
 		start(ctx, n.followSettings),
 		every(ctx, tickEvery, n.tick),
 		every(ctx, purgeEvery, func(context.Context) { n.conns.CloseExpired() }),
-		start(ctx, n.suspects.write),
+		start(ctx, n.suspects.writeDirty),
 	}
 	for _, k := range n.watched() {
 		parts = append(parts, start(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
--- a/node/race.go
+++ b/node/race.go
@@ -89,7 +89,7 @@
 // requests that have failed.
 func (x *exchange) hedge() *pool.Lease {
 	b := x.service.pool.RetryBudget()
-	if b.Remaining() < hedgeSpare || x.sole() { // of its like, targets may have crashed since it began
+	if b.Remaining() < hedgeSpare || x.singleTarget() { // of its like, targets may have crashed since it began
 		return nil
 	}
 	a := x.ask()
--- a/node/records.go
+++ b/node/records.go
@@ -86,7 +86,7 @@
 	case store.Targets:
 		r.tellTargets(news, from)
 	case store.Suspects:
-		r.node.suspects.take(news, from)
+		r.node.suspects.mergeRecords(news, from)
 	case store.Evacuations:
 		r.logEvacuations(news, from)
 	}
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -14,8 +14,8 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// whatBytes bounds what operators are told of a request.
-const whatBytes = 160
+// maxDescriptionBytes bounds what operators are told of a request.
+const maxDescriptionBytes = 160
 
 // suspects holds back requests that crash the targets that run them. What one node sees goes to all at once by datagram,
 // which reaches nodes that the store turns away; crashes that may be followed by more go to the store too, which reaches
@@ -32,11 +32,11 @@
 	return &suspects{node: n, list: quarantine.New(n.clock), table: n.platform.Suspects, wake: make(chan struct{}, 1)}
 }
 
-// judge says how the request is to be treated, or returns the problem with it. A request that is held back is let through
+// check says how the request is to be treated, or returns the problem with it. A request that is held back is let through
 // when a trial is due, by one node of the fleet.
-func (s *suspects) judge(ctx context.Context, x *exchange) (quarantine.Verdict, *Problem) {
+func (s *suspects) check(ctx context.Context, x *exchange) (quarantine.Verdict, *Problem) {
 	v, p := s.decide(x)
-	if !v.Held || v.TrialDue && s.claimAll(ctx, x) {
+	if !v.Held || v.TrialDue && s.claimTrials(ctx, x) {
 		return v, nil
 	}
 	return v, s.problem(p)
@@ -64,13 +64,13 @@
 	}
 }
 
-// crashed takes in that the target's process ended while it ran the request, which was sent to it at the time.
-func (s *suspects) crashed(x *exchange, target ident.Target, from clock.Millis) {
+// recordCrash takes in that the target's process ended while it ran the request, which was sent to it at the time.
+func (s *suspects) recordCrash(x *exchange, target ident.Target, sentAt clock.Millis) {
 	var updates []quarantine.Suspect
 	for b, p := range x.fingerprints() {
 		c := quarantine.Suspect{
 			Fingerprint: p, Scope: quarantine.Scope(b), Service: x.service.name, Description: describe(x.r),
-			Crashes: []quarantine.Crash{{Target: target, SentAt: from, At: s.node.clock.Now()}},
+			Crashes: []quarantine.Crash{{Target: target, SentAt: sentAt, At: s.node.clock.Now()}},
 		}
 		change := s.list.AddCrashes(c)
 		if change == quarantine.Unchanged {
@@ -82,7 +82,7 @@
 			s.markDirty(p)
 		}
 	}
-	s.spread(x.service, updates)
+	s.broadcast(x.service, updates)
 }
 
 // audience returns the nodes that hear of a request: of one crash, which may be chance, those that use the service; of
@@ -94,8 +94,8 @@
 	return s.node.services.withUsers(svc, s.node.carriers.all(svc.name))
 }
 
-// spread tells other nodes what is known of a request by each of its fingerprints.
-func (s *suspects) spread(svc *service, updates []quarantine.Suspect) {
+// broadcast tells other nodes what is known of a request by each of its fingerprints.
+func (s *suspects) broadcast(svc *service, updates []quarantine.Suspect) {
 	m := &tlv1.Suspects{}
 	wide := false
 	for i, c := range updates {
@@ -111,18 +111,18 @@
 // describe names a request for operators, without its query: that may hold what is nobody's to read.
 func describe(r *http.Request) string {
 	what := r.Method + " " + r.Host + r.URL.EscapedPath()
-	return what[:min(len(what), whatBytes)]
+	return what[:min(len(what), maxDescriptionBytes)]
 }
 
-// good takes in that a target has answered the request well.
-func (s *suspects) good(x *exchange) {
+// recordSuccess takes in that a target has answered the request well.
+func (s *suspects) recordSuccess(x *exchange) {
 	if s.list.Empty() {
 		return
 	}
 	m := &tlv1.Suspects{}
 	wide := false
 	for _, p := range x.fingerprints() {
-		if was, found := s.lift(p, "answer"); found {
+		if was, found := s.clearReports(p, "answer"); found {
 			m.Suspects = append(m.Suspects, &tlv1.Suspect{Print: p[:], Cleared: true})
 			wide = wide || was.Recurring()
 		}
@@ -130,18 +130,18 @@
 	s.send(m, s.audience(x.service, wide))
 }
 
-// lift drops the crash reports of the request here, and has them dropped in the store. It says whether there were any.
-func (s *suspects) lift(p quarantine.Fingerprint, by string) (was quarantine.Suspect, found bool) {
+// clearReports drops the crash reports of the request here, and has them dropped in the store. It says whether there were any.
+func (s *suspects) clearReports(p quarantine.Fingerprint, by string) (was quarantine.Suspect, found bool) {
 	if was, found = s.list.Clear(p); found {
-		s.logLifted(was, by)
+		s.logCleared(was, by)
 		s.markDirty(p)
 	}
 	return was, found
 }
 
-// clear does the same, and tells the other nodes.
-func (s *suspects) clear(p quarantine.Fingerprint, by string) {
-	if _, found := s.lift(p, by); found {
+// clearOnAllNodes does the same, and tells the other nodes.
+func (s *suspects) clearOnAllNodes(p quarantine.Fingerprint, by string) {
+	if _, found := s.clearReports(p, by); found {
 		s.send(&tlv1.Suspects{Suspects: []*tlv1.Suspect{{Print: p[:], Cleared: true}}}, s.node.members.Live())
 	}
 }
@@ -166,8 +166,8 @@
 	n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Suspects{Suspects: m}}, to...)
 }
 
-// hear takes in the reports of another node.
-func (s *suspects) hear(m *tlv1.Suspects) {
+// handleSuspects takes in the reports of another node.
+func (s *suspects) handleSuspects(m *tlv1.Suspects) {
 	for _, one := range m.GetSuspects() {
 		c, ok := quarantine.FromWire(one, s.node.clock.Now())
 		if !ok {
@@ -175,7 +175,7 @@
 		}
 		if one.GetCleared() {
 			if was, found := s.list.Clear(c.Fingerprint); found {
-				s.logLifted(was, "peer")
+				s.logCleared(was, "peer")
 			}
 			continue
 		}
@@ -201,12 +201,12 @@
 		"targets": targetsOf(c), "trials": c.Trials, "by": by,
 	}).Warn()
 	if change == quarantine.Quarantined && by == "seen" {
-		s.node.events.add(&tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_REQUEST_HELD, Workspace: workspaceIn(c.Service), Service: nameIn(c.Service), Reason: c.Description + " crashed " + targetsOf(c)})
+		s.node.events.add(&tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_REQUEST_HELD, Workspace: serviceWorkspace(c.Service), Service: serviceNameOf(c.Service), Reason: c.Description + " crashed " + targetsOf(c)})
 	}
 	return c
 }
 
-func (s *suspects) logLifted(was quarantine.Suspect, by string) {
+func (s *suspects) logCleared(was quarantine.Suspect, by string) {
 	s.node.log.WithFields(logrus.Fields{
 		"event": "request_lifted", "print": was.Fingerprint, "known_by": was.Scope, "service": was.Service, "what": was.Description, "crashes": len(was.Crashes),
 		"held": was.Held(), "trials": was.Trials, "by": by,
@@ -221,8 +221,8 @@
 	return strings.Join(names, ",")
 }
 
-// workspaceIn and nameIn are the parts of an own service's name; a service of the platform has no workspace.
-func workspaceIn(service string) string {
+// serviceWorkspace and nameIn are the parts of an own service's name; a service of the platform has no workspace.
+func serviceWorkspace(service string) string {
 	name, err := ident.ParseService(service)
 	if err != nil {
 		return ""
@@ -230,7 +230,7 @@
 	return string(name.Workspace)
 }
 
-func nameIn(service string) string {
+func serviceNameOf(service string) string {
 	name, err := ident.ParseService(service)
 	if err != nil {
 		return service
--- a/node/wire.go
+++ b/node/wire.go
@@ -177,7 +177,7 @@
 		case *tlv1.Parcel_Lend:
 			n.quotas.addLoan(b.Lend)
 		case *tlv1.Parcel_Suspects:
-			n.suspects.hear(b.Suspects)
+			n.suspects.handleSuspects(b.Suspects)
 		}
 	}
 }
