--- a/node/suspects.go
+++ b/node/suspects.go
@@ -14,17 +14,17 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// maxDescriptionBytes bounds what operators are told of a request.
+// maxDescriptionBytes is the maximum length of a request's description for operators.
 const maxDescriptionBytes = 160
 
-// suspects holds back requests that crash the targets that run them. What one node sees goes to all at once by datagram,
-// which reaches nodes that the store turns away; crashes that may be followed by more go to the store too, which reaches
-// nodes that are cut off from the others, or start later.
+// suspects quarantines requests that crash the targets that run them. Each crash report goes to other nodes by datagram at
+// once, which reaches nodes that the store refuses. Reports of repeated crashes also go to the store, which reaches nodes
+// that have no contact with the others or start later.
 type suspects struct {
 	node  *Node
 	list  *quarantine.List
 	table store.Table
-	// wake is sent to when there is something to write.
+	// wake is signalled when there is something to write to the store.
 	wake chan struct{}
 }
 
@@ -32,8 +32,8 @@
 	return &suspects{node: n, list: quarantine.New(n.clock), table: n.platform.Suspects, wake: make(chan struct{}, 1)}
 }
 
-// check says how the request is to be treated, or returns the problem with it. A request that is held back is let through
-// when a trial is due, by one node of the fleet.
+// check returns the verdict on the request, or a problem if it is held back. When a trial is due, one node of the fleet lets
+// the request through.
 func (s *suspects) check(ctx context.Context, x *exchange) (quarantine.Verdict, *Problem) {
 	v, p := s.decide(x)
 	if !v.Held || v.TrialDue && s.claimTrials(ctx, x) {
@@ -42,7 +42,7 @@
 	return v, s.problem(p)
 }
 
-// decide says how the request is to be treated: by the fingerprint that restricts it most, which it returns.
+// decide returns the strictest verdict over the request's fingerprints, and the fingerprint that it comes from.
 func (s *suspects) decide(x *exchange) (worst quarantine.Verdict, by quarantine.Fingerprint) {
 	if s.list.Empty() {
 		return worst, by
@@ -55,7 +55,7 @@
 	return worst, by
 }
 
-// problem says to the caller that the request is held back, and until when.
+// problem returns the response to a request that is held back, with the time of the next trial.
 func (s *suspects) problem(p quarantine.Fingerprint) *Problem {
 	v := s.list.Decide(p)
 	return &Problem{
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordCrash takes in that the target's process ended while it ran the request, which was sent to it at the time.
+// recordCrash records that the target's process ended while it ran the request, which was sent to it at sentAt.
 func (s *suspects) recordCrash(x *exchange, target ident.Target, sentAt clock.Millis) {
 	var updates []quarantine.Suspect
 	for b, p := range x.fingerprints() {
@@ -85,8 +85,8 @@
 	s.broadcast(x.service, updates)
 }
 
-// audience returns the nodes that hear of a request: of one crash, which may be chance, those that use the service; of
-// more, all.
+// audience returns the nodes to inform of a request: users of the service after one crash, which may be chance, and all nodes
+// after more.
 func (s *suspects) audience(svc *service, wide bool) []*tlv1.Member {
 	if wide {
 		return s.node.members.Live()
@@ -94,7 +94,7 @@
 	return s.node.services.withUsers(svc, s.node.carriers.all(svc.name))
 }
 
-// broadcast tells other nodes what is known of a request by each of its fingerprints.
+// broadcast sends what is known of a request, by each of its fingerprints, to other nodes.
 func (s *suspects) broadcast(svc *service, updates []quarantine.Suspect) {
 	m := &tlv1.Suspects{}
 	wide := false
@@ -108,13 +108,13 @@
 	s.send(m, s.audience(svc, wide))
 }
 
-// describe names a request for operators, without its query: that may hold what is nobody's to read.
+// describe names a request for operators, without its query, which may be confidential.
 func describe(r *http.Request) string {
 	what := r.Method + " " + r.Host + r.URL.EscapedPath()
 	return what[:min(len(what), maxDescriptionBytes)]
 }
 
-// recordSuccess takes in that a target has answered the request well.
+// recordSuccess clears the crash reports of a request that a target answered well.
 func (s *suspects) recordSuccess(x *exchange) {
 	if s.list.Empty() {
 		return
@@ -130,7 +130,8 @@
 	s.send(m, s.audience(x.service, wide))
 }
 
-// clearReports drops the crash reports of the request here, and has them dropped in the store. It says whether there were any.
+// clearReports removes the crash reports of the request from this node and schedules their removal from the store. It reports
+// whether there were any.
 func (s *suspects) clearReports(p quarantine.Fingerprint, by string) (was quarantine.Suspect, found bool) {
 	if was, found = s.list.Clear(p); found {
 		s.logCleared(was, by)
@@ -139,14 +140,14 @@
 	return was, found
 }
 
-// clearOnAllNodes does the same, and tells the other nodes.
+// clearOnAllNodes does the same and informs the other nodes.
 func (s *suspects) clearOnAllNodes(p quarantine.Fingerprint, by string) {
 	if _, found := s.clearReports(p, by); found {
 		s.send(&tlv1.Suspects{Suspects: []*tlv1.Suspect{{Print: p[:], Cleared: true}}}, s.node.members.Live())
 	}
 }
 
-// markDirty has the request written to the store.
+// markDirty schedules a write of the request's reports to the store.
 func (s *suspects) markDirty(p quarantine.Fingerprint) {
 	if !s.list.MarkDirty(p) {
 		return
@@ -166,7 +167,7 @@
 	n.wire.send(&tlv1.Parcel{Body: &tlv1.Parcel_Suspects{Suspects: m}}, to...)
 }
 
-// handleSuspects takes in the reports of another node.
+// handleSuspects applies the crash reports of another node.
 func (s *suspects) handleSuspects(m *tlv1.Suspects) {
 	for _, one := range m.GetSuspects() {
 		c, ok := quarantine.FromWire(one, s.node.clock.Now())
@@ -187,12 +188,12 @@
 	}
 }
 
-// tick forgets what has grown old.
+// tick removes expired crash reports.
 func (s *suspects) tick() {
 	s.list.Expire()
 }
 
-// logChange writes what changed to the log and the night's report, and returns what is known.
+// logChange records a change in the metrics, the log and the event report, and returns the suspect.
 func (s *suspects) logChange(change quarantine.Change, p quarantine.Fingerprint, by string) quarantine.Suspect {
 	c, _, _ := s.list.Get(p)
 	s.node.metrics.crashed(change)
@@ -221,7 +222,7 @@
 	return strings.Join(names, ",")
 }
 
-// serviceWorkspace and nameIn are the parts of an own service's name; a service of the platform has no workspace.
+// serviceWorkspace returns the workspace of a service of the fleet's own interface; services of the platform have none.
 func serviceWorkspace(service string) string {
 	name, err := ident.ParseService(service)
 	if err != nil {
