--- a/node/suspect_rows.go
+++ b/node/suspect_rows.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// claimTimeout bounds how long a request that is held back waits for the store's word that it may be tried.
+	// claimTimeout bounds how long a held request waits for the store to decide whether it may be tried.
 	claimTimeout clock.Millis = 400
-	// maxRowAttempts is how often a row is written again that another node wrote meanwhile.
+	// maxRowAttempts is the maximum number of attempts to write a row when other nodes write it too.
 	maxRowAttempts = 4
-	// maxRowWriteDelay is the longest pause between writes of rows, which other nodes may write too, and awayPause how much longer
-	// it is while the store does not answer.
+	// maxRowWriteDelay bounds the random delay between writes of rows, which other nodes may write too. unavailableDelay is added
+	// while the store is unavailable.
 	maxRowWriteDelay clock.Millis = 300
 	unavailableDelay              = 1 * clock.Second
-	// trialKeyPrefix names the duty to try a request while the store is away, for each request.
+	// trialKeyPrefix is the prefix of the key by which one node is chosen for a trial while the store is unavailable.
 	trialKeyPrefix = "trial/"
 )
 
-// mergeRecords takes in rows of the store.
+// mergeRecords merges rows of the store into the list.
 func (s *suspects) mergeRecords(changed []replica.Record, from string) {
 	for _, x := range changed {
 		row := &tlv1.Suspects{}
@@ -43,13 +43,13 @@
 			}
 			s.logChange(change, p, from)
 			if change == quarantine.Quarantined {
-				s.markDirty(p) // by what was seen here besides: the store has to know all of it
+				s.markDirty(p) // the store lacks this node's own reports
 			}
 		}
 	}
 }
 
-// claimTrials says whether the request may be tried here and now, by each of its fingerprints that is quarantined.
+// claimTrials claims a trial for each of the request's fingerprints that is quarantined, and reports whether all were granted.
 func (s *suspects) claimTrials(ctx context.Context, x *exchange) bool {
 	for _, p := range x.fingerprints() {
 		if v := s.list.Decide(p); v.Held && !s.claimTrial(ctx, p, v.Trials+1) {
@@ -59,8 +59,8 @@
 	return true
 }
 
-// claimTrial says whether a request of the fingerprint may be tried here and now. Of all nodes one may, which the store decides; while
-// that is away, the one that is first for it among those that this node hears.
+// claimTrial reports whether this node may try a request of the fingerprint now. The store grants each trial to one node.
+// While it is unavailable, the node that isFirstForTrial decides.
 func (s *suspects) claimTrial(ctx context.Context, p quarantine.Fingerprint, trials int) bool {
 	if !s.list.StartTrial(p, trials) {
 		return false
@@ -74,7 +74,7 @@
 	return granted
 }
 
-// isFirstForTrial says whether this node is isFirstForTrial for trials of the request, of those that it hears.
+// isFirstForTrial reports whether this node comes first for trials of the request among the nodes that it is in contact with.
 func (s *suspects) isFirstForTrial(p quarantine.Fingerprint) bool {
 	n := s.node
 	list := []assign.Candidate{{Node: n.self.Node, Weight: equalWeight}}
@@ -84,11 +84,11 @@
 	return assign.First(trialKeyPrefix+p.String(), list) == n.self.Node
 }
 
-// errTrialTaken says that another node has let the request through.
+// errTrialTaken means that another node has claimed the trial.
 var errTrialTaken = errors.New("another node tries the request")
 
-// saveRow writes what is known here of the request to its row. It fails with errTaken if it is for a trial, trials being its
-// number, that the row names already.
+// saveRow writes this node's reports of the request to its row. If trials is positive, it is the number of the trial to claim,
+// and saveRow fails with errTrialTaken if the row has that number already.
 func (s *suspects) saveRow(ctx context.Context, p quarantine.Fingerprint, trials int) (err error) {
 	defer func() { err = errors.Wrapf(err, "save crash reports of request %s", p) }()
 	key := quarantine.RowKey(p)
@@ -100,7 +100,7 @@
 		was := &tlv1.Suspects{}
 		if err := proto.Unmarshal(row.Value, was); err != nil {
 			s.node.log.WithFields(logrus.Fields{"event": "record_unreadable", "key": key, "version": row.Version, "from": fromStore, "error": err}).Warn()
-			was = &tlv1.Suspects{} // nobody can read it: it is written anew
+			was = &tlv1.Suspects{} // unreadable for every node: overwrite it
 		}
 		if trials > 0 && quarantine.TrialsIn(was, p) >= trials {
 			return errTrialTaken
@@ -109,7 +109,7 @@
 		if err != nil {
 			return err
 		}
-		if len(value) > 0 || row.Version > 0 { // the last fingerprint of a row takes the row with it
+		if len(value) > 0 || row.Version > 0 { // an empty value deletes the row
 			err = s.table.Commit(ctx, store.Write{Key: key, Value: value, Expected: row.Version})
 		}
 		var conflict *store.Conflict
@@ -126,7 +126,7 @@
 	return errors.Wrap(store.ErrContended, "the row is too busy")
 }
 
-// writeDirty writes dirty requests to the store, until the context ends.
+// writeDirty writes changed reports to the store until the context ends.
 func (s *suspects) writeDirty(ctx context.Context) {
 	for {
 		select {
@@ -146,14 +146,15 @@
 	}
 }
 
-// writeRows writes the rows of the requests, and says whether the store took them all.
+// writeRows writes the rows of the requests, and reports whether none failed. Rows that the store rejects as invalid are
+// given up and do not count.
 func (s *suspects) writeRows(ctx context.Context, list []quarantine.Fingerprint) bool {
 	for _, p := range list {
 		one, cancel := context.WithTimeout(ctx, lookTimeout.Duration())
 		err := s.saveRow(one, p, 0)
 		cancel()
 		switch {
-		case errors.Is(err, store.ErrInvalid): // it would be refused again for good
+		case errors.Is(err, store.ErrInvalid): // a retry would be rejected again
 			s.list.ClearDirty(p)
 			s.node.log.WithFields(logrus.Fields{"event": "suspect_refused", "print": p, "error": err}).Error()
 		case err != nil:
