--- a/node/heldback.go
+++ b/node/heldback.go
@@ -8,9 +8,9 @@
 	"github.com/tinladder/tinladder/pool"
 )
 
-// probeAfterLoss looks whether a target's process has ended on which an attempt probeAfterLoss its connection, and tells the quarantine if
-// so. A cut link, a hang or a connection that the target closed leaves its door open or out of sight: no request is to
-// blame for these. A target that is leaving may end with requests at work.
+// probeAfterLoss checks whether a target's process has ended after an attempt lost its connection, and records a crash if so.
+// After a network failure, a hang or a connection that the target closed, its port still accepts connections or cannot be
+// reached: the request is not to blame. Nor is it if the target is leaving, which may end with requests in flight.
 func (x *exchange) probeAfterLoss(ctx context.Context, l *pool.Lease) forward.ProbeResult {
 	result := x.node.conns.Probe(ctx, l.Address)
 	if result == forward.Refused && !l.Leaving() {
@@ -19,14 +19,14 @@
 	return result
 }
 
-// singleTarget says whether the request may go to one target only: a trial, or one under which several have crashed.
+// singleTarget reports whether the request may go to one target only: it is a trial, or several targets crashed under it.
 func (x *exchange) singleTarget() bool {
 	v, _ := x.node.suspects.decide(x)
 	return x.verdict.Held || v.SingleAttempt()
 }
 
-// refuseIfHeldSince refuses a request that is held back since it began, while it waited or by an attempt of its own. One that
-// was let through for a trial goes on, and one that was lost with targets that may have ended of something else.
+// refuseIfHeldSince refuses a request that has become held back since it began, while it waited or by its own attempts. A
+// trial continues, and so does a request whose attempts were lost with targets that may have ended for another reason.
 func (x *exchange) refuseIfHeldSince(l *pool.Lease, t ticket) bool {
 	v, p := x.node.suspects.decide(x)
 	if x.verdict.Held || !v.Held || x.ran > 0 && !v.SingleAttempt() {
@@ -41,10 +41,10 @@
 	return true
 }
 
-// errHeldBack says that a request is held back that a target may have run.
+// errHeldBack means that a request is held back that a target may have run.
 var errHeldBack = errors.New("the request is held back, since targets crashed that ran it")
 
-// refuseIfHeld refuses the request if it is held back, and says whether it did.
+// refuseIfHeld refuses the request if it is held back, and reports whether it did.
 func (x *exchange) refuseIfHeld(t ticket) bool {
 	v, p := x.node.suspects.check(x.r.Context(), x)
 	x.verdict = v
