--- a/node/lift.go
+++ b/node/lift.go
@@ -9,10 +9,10 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// errNotHeld is told of requests that nothing is held against, and of those of another workspace's services.
+// errNotHeld is returned for requests that are not held back, and for those of another workspace's services.
 var errNotHeld = errors.New("nothing is held against such a request")
 
-// Quarantine lists the requests under which targets crashed, of the operator's own services.
+// Quarantine lists the requests that crashed targets of the services that the operator manages.
 func (s *operatorServer) Quarantine(ctx context.Context, req *connect.Request[tlv1.QuarantineRequest]) (*connect.Response[tlv1.QuarantineResponse], error) {
 	op, err := s.operator(ctx, req.Header())
 	if err != nil {
@@ -37,8 +37,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// Lift has a request be sent again like any other, whatever it is known by. What could not be stored is written as soon as
-// the store answers.
+// Lift releases a request under all of its fingerprints. What could not be stored is written once the store is available.
 func (s *operatorServer) Lift(ctx context.Context, req *connect.Request[tlv1.LiftRequest]) (*connect.Response[tlv1.LiftResponse], error) {
 	op, err := s.operator(ctx, req.Header())
 	if err != nil {
@@ -57,7 +56,7 @@
 	defer cancel()
 	stored := true
 	for _, like := range n.suspects.list.All() {
-		if like.Description == c.Description && like.Service == c.Service { // what it is known by besides
+		if like.Description == c.Description && like.Service == c.Service { // the request's other fingerprints
 			n.suspects.clearOnAllNodes(like.Fingerprint, op.name)
 			err := n.suspects.saveRow(ctx, like.Fingerprint, 0)
 			stored = stored && err == nil
