--- a/node/fingerprint.go
+++ b/node/fingerprint.go
@@ -8,7 +8,7 @@
 	"github.com/tinladder/tinladder/quarantine"
 )
 
-// lazyFingerprints are a request's fingerprints, made when they are first asked for: attempts that run beside each other may ask.
+// lazyFingerprints computes a request's fingerprints on first use, which concurrent attempts may make.
 type lazyFingerprints struct {
 	once  sync.Once
 	value quarantine.Fingerprints
@@ -23,16 +23,16 @@
 		}
 		x.fingerprinted.value = quarantine.FingerprintsOf(&quarantine.Request{
 			Caller: callerAddress(x.r), Workspace: x.space, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
-			Host: x.route.Host, // not as it was sent: where the host is a node's own, the next node has another one
+			Host: x.route.Host, // not the request's: under a node's own host name it differs from node to node
 		})
 	})
 	return &x.fingerprinted.value
 }
 
-// callerAddress returns the address of whoever sent the request to the fleet.
+// callerAddress returns the address of the client that sent the request to the fleet.
 func callerAddress(r *http.Request) string {
 	if caller := r.Header.Get(HeaderCaller); caller != "" {
-		return caller // another node passed it on
+		return caller // another node forwarded the request
 	}
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
