--- a/node/cleared_test.go
+++ b/node/cleared_test.go
@@ -13,7 +13,7 @@
 func TestClearedRowsAreStored(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
 	for i := range 4 {
 		f.call(f.nodes[i%3], http.MethodGet, crashPath, "", "")
--- a/node/crash_kinds_test.go
+++ b/node/crash_kinds_test.go
@@ -20,13 +20,13 @@
 	"github.com/tinladder/tinladder/schema/tinladder/v1/tinladderv1connect"
 )
 
-// insist sends the request to one node after the other, for so long, and returns the last reply.
-func (f *fleet) insist(method, path, body string, every, long time.Duration) (last reply) {
-	return f.insistWith(func(int) string { return path }, method, body, every, long)
+// repeat sends the request to one node after the other, for so long, and returns the last reply.
+func (f *fleet) repeat(method, path, body string, every, long time.Duration) (last reply) {
+	return f.repeatWith(func(int) string { return path }, method, body, every, long)
 }
 
-// insistWith does the same with a path and query for each time.
-func (f *fleet) insistWith(path func(i int) string, method, body string, every, long time.Duration) (last reply) {
+// repeatWith does the same with a path and query for each time.
+func (f *fleet) repeatWith(path func(i int) string, method, body string, every, long time.Duration) (last reply) {
 	f.t.Helper()
 	end := time.Now().Add(long)
 	for i := 0; time.Now().Before(end); i++ {
@@ -45,8 +45,8 @@
 	}}
 }
 
-// seen counts the lines of all nodes' logs with the words.
-func (f *fleet) seen(words ...string) (count int) {
+// logLines counts the lines of all nodes' logs with the words.
+func (f *fleet) logLines(words ...string) (count int) {
 	for _, n := range f.nodes {
 		for line := range strings.Lines(n.log.String()) {
 			all := true
@@ -90,19 +90,19 @@
 			is := is.New(t)
 			f := startFleet(t, 3, &fleet{lonely: c.fleet.lonely, via: func(s string) string { return s }})
 			f.calm(1)
-			b := newBrittleOn(f, 9, c.path)
+			b := newTargetsCrashingOn(f, 9, c.path)
 			f.ready(1, 9)
 			if c.before != nil {
 				c.before(f)
 			}
-			last := f.insistWith(func(i int) string {
+			last := f.repeatWith(func(i int) string {
 				if c.queries {
 					return fmt.Sprint(c.path, "?page=", i)
 				}
 				return c.path
 			}, c.method, c.body, 150*time.Millisecond, 6*time.Second)
 			t.Logf("%d sends, %d crashes, %d late", len(b.sent(c.path)), len(b.crashes), b.late(c.path))
-			is.True(b.late(c.path) <= lateSends)
+			is.True(b.late(c.path) <= maxLateSends)
 			is.True(len(b.sent(c.path)) >= 3)
 			is.Equal(last.status, http.StatusServiceUnavailable) // refused at once, with a word on when to come back
 			is.True(last.header.Get("Retry-After") != "")
@@ -120,9 +120,9 @@
 	<-late.node.Done()
 	f.nodes = f.nodes[:2]
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
-	f.insist(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
+	f.repeat(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
 	sent := len(b.sent(crashPath))
 	f.nodes = append(f.nodes, late)
 	f.start(late)
@@ -143,14 +143,14 @@
 	is := is.New(t)
 	f := newFleetOnLinks(t, 3, linkBytes)
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
 	all, cut := f.nodes, f.nodes[2]
 	f.nodes = all[:2]
 	cut.relay.SetCut(true)
 	cut.door.SetFaults(standin.Faults{Away: standin.Reset})
-	f.insist(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
-	f.eventually("the others hold it back", func() bool { return f.seen("event=request_held") >= 2 })
+	f.repeat(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
+	f.eventually("the others hold it back", func() bool { return f.logLines("event=request_held") >= 2 })
 	sent := len(b.sent(crashPath))
 	cut.door.SetFaults(standin.Faults{})
 	cut.relay.SetCut(false)
@@ -171,11 +171,11 @@
 func TestRequestThatIsCuredIsServedAgain(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
 	f.eventually("it is held back", func() bool {
-		f.insist(http.MethodGet, crashPath, "", 50*time.Millisecond, 50*time.Millisecond)
-		return f.seen("event=request_held") >= 3
+		f.repeat(http.MethodGet, crashPath, "", 50*time.Millisecond, 50*time.Millisecond)
+		return f.logLines("event=request_held") >= 3
 	})
 	for _, target := range b.list {
 		target.CrashOn("")
@@ -188,7 +188,7 @@
 		}
 		return true
 	})
-	f.eventually("all know", func() bool { return f.seen("event=request_lifted") >= 3 })
+	f.eventually("all know", func() bool { return f.logLines("event=request_lifted") >= 3 })
 }
 
 // TestOperatorLiftsARequest lists what is held back, and lifts it, as an administrator; without a token nothing is told.
@@ -199,9 +199,9 @@
 		return fmt.Sprintf("[operators]\nadmin_token_sha256 = %q\n", hex.EncodeToString(sum[:]))
 	}})
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
-	f.insist(http.MethodGet, crashPath+"?secret=1", "", 100*time.Millisecond, time.Second)
+	f.repeat(http.MethodGet, crashPath+"?secret=1", "", 100*time.Millisecond, time.Second)
 	c := tinladderv1connect.NewOperatorServiceClient(f.http, "http://"+f.nodes[0].operators)
 	_, err := c.Quarantine(context.Background(), connect.NewRequest(&tlv1.QuarantineRequest{}))
 	is.Equal(connect.CodeOf(err), connect.CodeUnauthenticated)
@@ -237,7 +237,7 @@
 	is := is.New(t)
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 9)
+	b := newCrashingTargets(f, 9)
 	f.ready(1, 9)
 	for i, target := range b.list {
 		target.Takes = 30 * time.Millisecond
@@ -271,11 +271,11 @@
 	}
 	<-done
 	t.Logf("%d served; %d crashes seen under it, %d lost connections with an open door",
-		served, f.seen("event=request_suspected", "by=seen"), f.seen("outcome=silent", "door=open"))
+		served, f.logLines("event=request_suspected", "by=seen"), f.logLines("outcome=silent", "door=open"))
 	is.True(served > 0)
-	is.Equal(f.seen("event=request_held"), 0)
-	is.Equal(f.seen("held back"), 0)
-	is.True(f.seen("outcome=silent", "door=open") > 0) // there were some
+	is.Equal(f.logLines("event=request_held"), 0)
+	is.Equal(f.logLines("held back"), 0)
+	is.True(f.logLines("outcome=silent", "door=open") > 0) // there were some
 }
 
 // TestLostConnectionsAreNoCrashes has a target that loses the connection of each request and goes on: nothing is held
@@ -289,6 +289,6 @@
 	for i := range 8 {
 		is.Equal(f.call(f.nodes[i%2], http.MethodPost, "/once/same", fmt.Sprint("lost-", i), "order").status, http.StatusBadGateway)
 	}
-	is.True(f.seen("outcome=silent", "door=open") > 0)
-	is.Equal(f.seen("event=request_suspected"), 0)
+	is.True(f.logLines("outcome=silent", "door=open") > 0)
+	is.Equal(f.logLines("event=request_suspected"), 0)
 }
--- a/node/crash_own_test.go
+++ b/node/crash_own_test.go
@@ -17,9 +17,9 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// A glass is a target of the fleet's own interface that drops all its connections while it runs a request for /get/crash,
+// A fragileTarget is a target of the fleet's own interface that drops all its connections while it runs a request for /get/crash,
 // shuts its door a moment later, and is back at its address after some time, under its id: documents name it.
-type glass struct {
+type fragileTarget struct {
 	address string
 
 	mu      sync.Mutex
@@ -29,13 +29,13 @@
 	arrived []time.Time
 }
 
-func newGlass(t *testing.T) *glass {
+func newFragileTarget(t *testing.T) *fragileTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &glass{address: l.Addr().String(), door: l, conns: map[net.Conn]bool{}}
+	g := &fragileTarget{address: l.Addr().String(), door: l, conns: map[net.Conn]bool{}}
 	go g.accept(l)
 	t.Cleanup(func() {
 		g.mu.Lock()
@@ -48,7 +48,7 @@
 	return g
 }
 
-func (g *glass) accept(l net.Listener) {
+func (g *fragileTarget) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (g *glass) serve(c net.Conn) {
+func (g *fragileTarget) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
@@ -83,7 +83,7 @@
 	}
 }
 
-func (g *glass) crash() {
+func (g *fragileTarget) crash() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.crashes = append(g.crashes, time.Now())
@@ -105,8 +105,8 @@
 	})
 }
 
-// newGlassFleet starts three nodes with a service of the fleet's own interface on 12 such targets.
-func newGlassFleet(t *testing.T) (*fleet, []*glass) {
+// newFragileFleet starts three nodes with a service of the fleet's own interface on 12 such targets.
+func newFragileFleet(t *testing.T) (*fleet, []*fragileTarget) {
 	hash := func(s string) []byte {
 		sum := sha256.Sum256([]byte(s))
 		return sum[:]
@@ -121,9 +121,9 @@
 		Workspace: "tuul", Name: "desk", Profile: tlv1.Profile_PROFILE_QUICK,
 		Routes: []*tlv1.Route{{PathPrefix: "/get/", Repeat: tlv1.Repeat_REPEAT_ALLOWED, Retries: 2, DeadlineMs: 2000}},
 	}
-	var targets []*glass
+	var targets []*fragileTarget
 	for i := range 12 {
-		g := newGlass(t)
+		g := newFragileTarget(t)
 		targets = append(targets, g)
 		service.Targets = append(service.Targets, &tlv1.Target{Id: fmt.Sprint("t", i), Address: g.address, Slots: 4, Hall: fmt.Sprint("h", i%3)})
 	}
@@ -150,8 +150,8 @@
 	return res.StatusCode
 }
 
-// others asks 40 times a second for so long, half of the times for one and the same path, and counts the answers by status.
-func (f *fleet) others(long time.Duration) (statuses map[int]int) {
+// sendOthers asks 40 times a second for so long, half of the times for one and the same path, and counts the answers by status.
+func (f *fleet) sendOthers(long time.Duration) (statuses map[int]int) {
 	statuses = map[int]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -177,7 +177,7 @@
 // It crashed 60 targets in 20 s, and took two thirds of what others asked from them.
 func TestOwnInterfaceHoldsBackWhatCrashesTargets(t *testing.T) {
 	is := is.New(t)
-	f, targets := newGlassFleet(t)
+	f, targets := newFragileFleet(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -186,7 +186,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 	}()
-	statuses := f.others(9 * time.Second)
+	statuses := f.sendOthers(9 * time.Second)
 	<-done
 	var crashes, arrived []time.Time
 	for _, g := range targets {
@@ -199,18 +199,18 @@
 	third := sortedTimes(crashes)[2]
 	late := 0
 	for _, at := range arrived {
-		if at.Sub(third) > contact {
+		if at.Sub(third) > containmentTime {
 			late++
 		}
 	}
-	is.True(late <= lateSends)
+	is.True(late <= maxLateSends)
 	is.Equal(statuses[http.StatusOK], sum(statuses)) // what others ask for is served
 }
 
 // TestOwnInterfaceBlamesNobodyForCrashes lets the same targets crash by themselves, one each 0.7 s.
 func TestOwnInterfaceBlamesNobodyForCrashes(t *testing.T) {
 	is := is.New(t)
-	f, targets := newGlassFleet(t)
+	f, targets := newFragileFleet(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -219,11 +219,11 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 	}()
-	statuses := f.others(8 * time.Second)
+	statuses := f.sendOthers(8 * time.Second)
 	<-done
 	t.Logf("others: %v", statuses)
 	is.Equal(statuses[http.StatusOK], sum(statuses))
-	is.Equal(f.seen("event=request_held"), 0)
+	is.Equal(f.logLines("event=request_held"), 0)
 }
 
 func sum(counts map[int]int) (all int) {
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -15,16 +15,16 @@
 const (
 	// crashPath is what no target bears.
 	crashPath = "/get/crash"
-	// contact is how long the fleet has to hold such a request back once three targets have crashed, and lateSends how
+	// containmentTime is how long the fleet has to hold such a request back once three targets have crashed, and lateSends how
 	// often it may be sent after that.
-	contact   = 3 * time.Second
-	lateSends = 3
-	// backAfter is how long a target that crashed takes to start again.
-	backAfter = 700 * time.Millisecond
+	containmentTime = 3 * time.Second
+	maxLateSends    = 3
+	// restartDelay is how long a target that crashed takes to start again.
+	restartDelay = 700 * time.Millisecond
 )
 
-// brittle are targets that crash under crashPath and start again, each time under a new id.
-type brittle struct {
+// crashingTargets are targets that crash under crashPath and start again, each time under a new id.
+type crashingTargets struct {
 	f    *fleet
 	list []*standin.Target
 	done chan struct{}
@@ -35,13 +35,13 @@
 	starts  int
 }
 
-func newBrittle(f *fleet, count int) *brittle {
-	return newBrittleOn(f, count, crashPath)
+func newCrashingTargets(f *fleet, count int) *crashingTargets {
+	return newTargetsCrashingOn(f, count, crashPath)
 }
 
-// newBrittleOn starts targets that crash under another path.
-func newBrittleOn(f *fleet, count int, path string) *brittle {
-	b := &brittle{f: f, done: make(chan struct{})}
+// newTargetsCrashingOn starts targets that crash under another path.
+func newTargetsCrashingOn(f *fleet, count int, path string) *crashingTargets {
+	b := &crashingTargets{f: f, done: make(chan struct{})}
 	for i := range count {
 		t := f.target(fmt.Sprint("t", i), "desk")
 		t.CrashOn(path)
@@ -57,7 +57,7 @@
 }
 
 // restart starts targets again that have crashed for long enough.
-func (b *brittle) restart() {
+func (b *crashingTargets) restart() {
 	defer b.wg.Done()
 	seen := map[*standin.Target]time.Time{}
 	for {
@@ -77,7 +77,7 @@
 				b.crashes = append(b.crashes, at)
 				b.mu.Unlock()
 			}
-			if time.Since(at) > backAfter {
+			if time.Since(at) > restartDelay {
 				b.mu.Lock()
 				b.starts++
 				id := fmt.Sprint("again", b.starts)
@@ -91,7 +91,7 @@
 }
 
 // sent returns when targets got requests for the path.
-func (b *brittle) sent(path string) []time.Time {
+func (b *crashingTargets) sent(path string) []time.Time {
 	var list []time.Time
 	for _, t := range b.list {
 		for _, s := range t.Seen() {
@@ -105,7 +105,7 @@
 }
 
 // late counts the requests for the path that targets got later than contact after the third crash.
-func (b *brittle) late(path string) (count int) {
+func (b *crashingTargets) late(path string) (count int) {
 	b.mu.Lock()
 	crashes := sortedTimes(b.crashes)
 	b.mu.Unlock()
@@ -113,7 +113,7 @@
 		return 0
 	}
 	for _, at := range b.sent(path) {
-		if at.Sub(crashes[2]) > contact {
+		if at.Sub(crashes[2]) > containmentTime {
 			count++
 		}
 	}
@@ -132,7 +132,7 @@
 func TestRequestThatCrashesTargetsStopsBeingSent(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 12)
+	b := newCrashingTargets(f, 12)
 	f.ready(1, 12)
 	end := time.Now().Add(8 * time.Second)
 	var wg sync.WaitGroup
@@ -154,8 +154,8 @@
 		asked++
 	}
 	wg.Wait()
-	if late := b.late(crashPath); late > lateSends {
-		t.Errorf("it was sent %d times more than %v after the third crash; %d sends, %d crashes in all", late, contact, len(b.sent(crashPath)), len(b.crashes))
+	if late := b.late(crashPath); late > maxLateSends {
+		t.Errorf("it was sent %d times more than %v after the third crash; %d sends, %d crashes in all", late, containmentTime, len(b.sent(crashPath)), len(b.crashes))
 	}
 	if lost := asked - served; lost*100 > asked {
 		t.Errorf("%d of %d other requests were not served", lost, asked)
--- a/node/evacuations_own_test.go
+++ b/node/evacuations_own_test.go
@@ -56,7 +56,7 @@
 // cannot.
 func TestOperatorsEvacuateAHall(t *testing.T) {
 	is := is.New(t)
-	f, _ := newGlassFleet(t)
+	f, _ := newFragileFleet(t)
 	near, inHall := hallServers(t, "h0", 3)
 	far, elsewhere := hallServers(t, "h1", 3)
 	f.apply(&tlv1.Document{Key: "svc/tuul/more", Body: &tlv1.Document_Service{Service: &tlv1.Service{
@@ -81,7 +81,7 @@
 	is.Equal(connect.CodeOf(err), connect.CodeNotFound)
 	version, err := f.change(adminToken, hallDocument("h0", true, 0))
 	is.NoErr(err)
-	press(evacuateWithin)
+	press(evacuationTimeout)
 	last := f.nodes[2]
 	last.stop()
 	<-last.node.Done()
@@ -94,6 +94,6 @@
 
 	_, err = f.change(adminToken, hallDocument("h0", false, version))
 	is.NoErr(err)
-	press(evacuateWithin)
+	press(evacuationTimeout)
 	is.True(inHall.Load() > was) // the restored hall works again
 }
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -10,8 +10,8 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// evacuateWithin is how soon after the operator's word a hall's targets may get nothing more.
-const evacuateWithin = 3 * time.Second
+// evacuationTimeout is how soon after the operator's word a hall's targets may get nothing more.
+const evacuationTimeout = 3 * time.Second
 
 // halls starts a fleet with targets in two halls.
 func halls(t *testing.T) (f *fleet, inHall map[string][]*standin.Target) {
@@ -39,8 +39,8 @@
 	return count
 }
 
-// press sends requests to all nodes for so long and returns how many were not served.
-func (f *fleet) press(what string, long time.Duration) (unserved int) {
+// sendFor sends requests to all nodes for so long and returns how many were not served.
+func (f *fleet) sendFor(what string, long time.Duration) (unserved int) {
 	for i, end := 0, time.Now().Add(long); time.Now().Before(end); i++ {
 		if f.call(f.nodes[i%len(f.nodes)], http.MethodGet, "/get/a", fmt.Sprint(what, i), "").status != http.StatusOK {
 			unserved++
@@ -54,21 +54,21 @@
 // always got. Nodes that the store turns away, and one that starts later, keep to it too; once restored it gets work again.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
 	f, inHall := halls(t)
-	f.press("before", 300*time.Millisecond)
+	f.sendFor("before", 300*time.Millisecond)
 	if arrivals(inHall["h0"]) == 0 {
 		t.Fatal("the hall got no work before")
 	}
 	f.nodes[4].door.SetFaults(standin.Faults{Away: standin.Busy})
 	f.nodes[5].door.SetFaults(standin.Faults{Away: standin.Silent})
 	f.store.Evacuate("h0")
-	f.press("soon", evacuateWithin)
+	f.sendFor("soon", evacuationTimeout)
 	was := arrivals(inHall["h0"])
 	late := f.nodes[3]
 	late.stop()
 	<-late.node.Done()
 	f.start(late)
 	f.ready(1, 6)
-	if n := f.press("after", 2*time.Second); n > 0 {
+	if n := f.sendFor("after", 2*time.Second); n > 0 {
 		t.Errorf("%d requests were not served by the other hall", n)
 	}
 	if more := arrivals(inHall["h0"]) - was; more > 0 {
@@ -76,7 +76,7 @@
 	}
 	f.store.Restore("h0")
 	f.eventually("the hall gets work again", func() bool {
-		f.press("back", 50*time.Millisecond)
+		f.sendFor("back", 50*time.Millisecond)
 		return arrivals(inHall["h0"]) > was
 	})
 	for _, n := range f.nodes {
@@ -100,7 +100,7 @@
 	for _, n := range f.nodes {
 		f.start(n)
 	}
-	f.press("again", 2*time.Second)
+	f.sendFor("again", 2*time.Second)
 	if more := arrivals(inHall["h0"]) - was; more > 0 {
 		t.Errorf("the hall got %d requests", more)
 	}
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -26,8 +26,8 @@
 	f.store.ConfigureKeyed(1, []string{"desk"}, []standin.WorkspaceRow{{Name: "shop", Keys: []string{"key"}, Rank: 1, PerSecond: 900, Burst: 900}},
 		route("/get/", standin.Repeatable, "desk"))
 	f.ready(1, 1)
-	f.eventually("each hall's first two nodes share limits", func() bool { return f.shares("share=0.1667") == 6 })
-	before := f.shares("")
+	f.eventually("each hall's first two nodes share limits", func() bool { return f.shareChanges("share=0.1667") == 6 })
+	before := f.shareChanges("")
 	var wg sync.WaitGroup
 	for i := range 60 {
 		wg.Go(func() {
@@ -38,13 +38,13 @@
 	}
 	f.eventually("more of a hall's nodes carry the service", func() bool { return strings.Contains(f.nodes[0].log.String(), "event=demand") })
 	wg.Wait()
-	if moved := f.shares("") - before; moved > 0 {
+	if moved := f.shareChanges("") - before; moved > 0 {
 		t.Errorf("parts of limits moved %d times as requests came", moved)
 	}
 }
 
-// shares counts what the nodes said of their parts of limits.
-func (f *fleet) shares(with string) (n int) {
+// shareChanges counts what the nodes said of their parts of limits.
+func (f *fleet) shareChanges(with string) (n int) {
 	for _, x := range f.nodes {
 		for line := range strings.Lines(x.log.String()) {
 			if strings.Contains(line, "event=limit_share") && strings.Contains(line, with) {
