--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -12,10 +12,10 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestPartsOfLimitsStayAsRequestsComeAndGo has more requests in flight in one hall, so that a third node of it carries the
-// service, too. Parts of limits moved with that: the log of a day with trouble has "carriers=9 share=0.1111",
-// "carriers=15 share=0.0667" and "carriers=6 share=0.1429" within 14 s, while no node came or went; what a mover waits
-// for others was nobody's, and twice as many requests were refused as before movers waited.
+// TestPartsOfLimitsStayAsRequestsComeAndGo raises the load of one hall so that a third node of it carries the service. Shares
+// of limits moved with the carriers: while no node came or went, a log had "carriers=9 share=0.1111", "carriers=15
+// share=0.0667" and "carriers=6 share=0.1429" within 14 s. A node whose share moves waits for the others and the share is
+// unused meanwhile, so twice as many requests were refused as before nodes waited.
 func TestPartsOfLimitsStayAsRequestsComeAndGo(t *testing.T) {
 	f := newFleetWith(t, 9, func(int) string { return "[capacity]\ncores = 0.05\n" })
 	big, err := standin.NewTarget(f.store, "t", "desk", "h0", 400, 300*time.Millisecond)
@@ -43,7 +43,7 @@
 	}
 }
 
-// shareChanges counts what the nodes said of their parts of limits.
+// shareChanges counts the changes of limit shares in the nodes' logs.
 func (f *fleet) shareChanges(with string) (n int) {
 	for _, x := range f.nodes {
 		for line := range strings.Lines(x.log.String()) {
@@ -55,7 +55,7 @@
 	return n
 }
 
-// get asks in the name of whose key it shows.
+// get sends a request with the key of a workspace.
 func (f *fleet) get(n *testNode, id, key string) {
 	h := platform.Headers()
 	r, err := http.NewRequest(http.MethodGet, "http://"+n.callers+"/get/x", nil)
