--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// evacuationTimeout is how soon after the operator's word a hall's targets may get nothing more.
+// evacuationTimeout is the time within which a hall's targets must stop getting requests after the evacuation.
 const evacuationTimeout = 3 * time.Second
 
 // halls starts a fleet with targets in two halls.
@@ -31,7 +31,7 @@
 	return f, inHall
 }
 
-// arrivals counts the requests that came to the targets.
+// arrivals counts the requests that reached the targets.
 func arrivals(targets []*standin.Target) (count int) {
 	for _, t := range targets {
 		count += len(t.Seen())
@@ -39,7 +39,7 @@
 	return count
 }
 
-// sendFor sends requests to all nodes for so long and returns how many were not served.
+// sendFor sends requests to all nodes for the duration and returns how many were not served.
 func (f *fleet) sendFor(what string, long time.Duration) (unserved int) {
 	for i, end := 0, time.Now().Add(long); time.Now().Before(end); i++ {
 		if f.call(f.nodes[i%len(f.nodes)], http.MethodGet, "/get/a", fmt.Sprint(what, i), "").status != http.StatusOK {
@@ -50,8 +50,8 @@
 	return unserved
 }
 
-// TestEvacuatedHallGetsNothing evacuates a hall while callers ask. The row was not read at all: its targets got what they
-// always got. Nodes that the store turns away, and one that starts later, keep to it too; once restored it gets work again.
+// TestEvacuatedHallGetsNothing evacuates a hall under load. The row was not read, so that its targets went on getting requests.
+// Nodes that the store refuses, and one that starts later, must respect it too. After the restore the hall gets work again.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
 	f, inHall := halls(t)
 	f.sendFor("before", 300*time.Millisecond)
@@ -86,8 +86,7 @@
 	}
 }
 
-// TestEvacuationOutlastsAllNodes ends all nodes of a fleet and starts them again while a hall is evacuated: they know of it
-// before they serve.
+// TestEvacuationOutlastsAllNodes restarts all nodes while a hall is evacuated: they must know of it before they serve.
 func TestEvacuationOutlastsAllNodes(t *testing.T) {
 	f, inHall := halls(t)
 	f.store.Evacuate("h0")
