--- a/node/evacuations_own_test.go
+++ b/node/evacuations_own_test.go
@@ -15,7 +15,7 @@
 	"github.com/tinladder/tinladder/schema/tinladder/v1/tinladderv1connect"
 )
 
-// hallServers starts targets of one hall that count what they get, as documents name them.
+// hallServers starts targets of one hall, in the form that documents name them, and counts their requests.
 func hallServers(t *testing.T, hall string, count int) (targets []*tlv1.Target, arrived *atomic.Int64) {
 	t.Helper()
 	arrived = &atomic.Int64{}
@@ -32,14 +32,14 @@
 	return targets, arrived
 }
 
-// hallDocument says whether the hall is evacuated, in place of the version.
+// hallDocument returns a document that evacuates or restores the hall and replaces the given version.
 func hallDocument(hall string, evacuated bool, version uint64) *tlv1.Document {
 	return &tlv1.Document{
 		Key: "hall/" + hall, Version: version, Body: &tlv1.Document_Hall{Hall: &tlv1.Hall{Name: hall, Evacuated: evacuated}},
 	}
 }
 
-// change makes a change with the operator's token, and returns its version.
+// change applies the document with the operator's token and returns its new version.
 func (f *fleet) change(token string, d *tlv1.Document) (uint64, error) {
 	c := tinladderv1connect.NewOperatorServiceClient(f.http, "http://"+f.nodes[0].operators)
 	r := connect.NewRequest(&tlv1.ApplyRequest{Document: d, ChangeId: fmt.Sprintf("%s-%d", d.GetBody().(*tlv1.Document_Hall).Hall.GetName(), d.GetVersion())})
@@ -51,9 +51,8 @@
 	return res.Msg.GetChange().GetSeq(), nil
 }
 
-// TestOperatorsEvacuateAHall has an operator of the fleet's own interface evacuate a hall: its targets get nothing more from
-// any node, also one that starts afterwards, until the hall is restored; and a workspace's operator, whose hall it is not,
-// cannot.
+// TestOperatorsEvacuateAHall evacuates a hall through the fleet's own interface. Its targets get no more requests from any
+// node, including one that starts afterwards, until the hall is restored. A workspace's operator cannot evacuate a hall.
 func TestOperatorsEvacuateAHall(t *testing.T) {
 	is := is.New(t)
 	f, _ := newFragileFleet(t)
