--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// crashPath is what no target bears.
+	// crashPath is the path under which targets crash.
 	crashPath = "/get/crash"
-	// containmentTime is how long the fleet has to hold such a request back once three targets have crashed, and lateSends how
+	// containmentTime is the time the fleet has to hold such a request back after three targets have crashed. maxLateSends is how
 	// often it may be sent after that.
 	containmentTime = 3 * time.Second
 	maxLateSends    = 3
-	// restartDelay is how long a target that crashed takes to start again.
+	// restartDelay is how long a crashed target takes to restart.
 	restartDelay = 700 * time.Millisecond
 )
 
-// crashingTargets are targets that crash under crashPath and start again, each time under a new id.
+// crashingTargets are targets that crash under a path and restart, each time with a new id.
 type crashingTargets struct {
 	f    *fleet
 	list []*standin.Target
@@ -39,7 +39,7 @@
 	return newTargetsCrashingOn(f, count, crashPath)
 }
 
-// newTargetsCrashingOn starts targets that crash under another path.
+// newTargetsCrashingOn starts targets that crash under the given path.
 func newTargetsCrashingOn(f *fleet, count int, path string) *crashingTargets {
 	b := &crashingTargets{f: f, done: make(chan struct{})}
 	for i := range count {
@@ -56,7 +56,7 @@
 	return b
 }
 
-// restart starts targets again that have crashed for long enough.
+// restart records crashes and restarts targets restartDelay later.
 func (b *crashingTargets) restart() {
 	defer b.wg.Done()
 	seen := map[*standin.Target]time.Time{}
@@ -90,7 +90,7 @@
 	}
 }
 
-// sent returns when targets got requests for the path.
+// sent returns the times at which targets got requests for the path.
 func (b *crashingTargets) sent(path string) []time.Time {
 	var list []time.Time
 	for _, t := range b.list {
@@ -104,7 +104,7 @@
 	return list
 }
 
-// late counts the requests for the path that targets got later than contact after the third crash.
+// late counts the requests for the path that reached targets later than containmentTime after the third crash.
 func (b *crashingTargets) late(path string) (count int) {
 	b.mu.Lock()
 	crashes := sortedTimes(b.crashes)
@@ -120,15 +120,10 @@
 	return count
 }
 
-// A request crashed each target that ran it. Its caller sent it again and again, at any node, and each node sent it on as if
-// it had never come before, and tried it at a second target besides: nothing remembered what had happened under it. Eight of
-// eight targets of a service were gone within three seconds of the first crash, and 15 sends too many came in one series:
-//
-//	21.24 front-kranj-cit-5 event=attempt_failed outcome=silent error="read answer: unexpected EOF" target=i-5c698df52d
-//	21.34 front-kranj-cit-5 event=attempt_failed outcome=silent error="read answer: unexpected EOF" target=i-848b017625
-//	22.09 front-novo-mesto-cit-6 event=attempt_failed outcome=silent error="read answer: unexpected EOF" target=i-4d42202ca0
-//
-// What many others ask for meanwhile is served.
+// TestRequestThatCrashesTargetsStopsBeingSent repeats a request that crashes each target that runs it, at all nodes. Nodes kept
+// no record of the crashes (their attempts ended with outcome=silent, "unexpected EOF"), forwarded it each time, and retried it
+// at a second target. All eight targets of a service crashed within 3 s, and 15 sends too many came in one series. Other
+// requests must be served meanwhile.
 func TestRequestThatCrashesTargetsStopsBeingSent(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
