--- a/node/crash_kinds_test.go
+++ b/node/crash_kinds_test.go
@@ -20,12 +20,12 @@
 	"github.com/tinladder/tinladder/schema/tinladder/v1/tinladderv1connect"
 )
 
-// repeat sends the request to one node after the other, for so long, and returns the last reply.
+// repeat sends the request to the nodes in turn for the duration and returns the last reply.
 func (f *fleet) repeat(method, path, body string, every, long time.Duration) (last reply) {
 	return f.repeatWith(func(int) string { return path }, method, body, every, long)
 }
 
-// repeatWith does the same with a path and query for each time.
+// repeatWith does the same with a path and query computed per attempt.
 func (f *fleet) repeatWith(path func(i int) string, method, body string, every, long time.Duration) (last reply) {
 	f.t.Helper()
 	end := time.Now().Add(long)
@@ -36,7 +36,7 @@
 	return last
 }
 
-// callsFromAnywhere has each new connection of the fleet's caller come from another address.
+// callsFromAnywhere gives each new connection of the fleet's client another source address.
 func callsFromAnywhere(f *fleet) {
 	var count atomic.Int32
 	f.http.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -45,7 +45,7 @@
 	}}
 }
 
-// logLines counts the lines of all nodes' logs with the words.
+// logLines counts the log lines of all nodes that contain all of the words.
 func (f *fleet) logLines(words ...string) (count int) {
 	for _, n := range f.nodes {
 		for line := range strings.Lines(n.log.String()) {
@@ -61,17 +61,16 @@
 	return count
 }
 
-// TestRequestsOfAllKindsThatCrashTargets sends one such request again and again, of each kind, to nodes in each state in
-// which they may be.
+// TestRequestsOfAllKindsThatCrashTargets repeats a request that crashes targets, for each kind of request and each state of nodes.
 func TestRequestsOfAllKindsThatCrashTargets(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		method, path string
 		body         string
 		fleet        fleet
-		// queries says that it comes with another query each time.
+		// queries gives the request another query each time.
 		queries bool
-		// before is done once all are ready.
+		// before runs once all are ready.
 		before func(f *fleet)
 	}{
 		{name: "many callers", method: http.MethodGet, path: crashPath, before: callsFromAnywhere},
@@ -104,14 +103,14 @@
 			t.Logf("%d sends, %d crashes, %d late", len(b.sent(c.path)), len(b.crashes), b.late(c.path))
 			is.True(b.late(c.path) <= maxLateSends)
 			is.True(len(b.sent(c.path)) >= 3)
-			is.Equal(last.status, http.StatusServiceUnavailable) // refused at once, with a word on when to come back
+			is.Equal(last.status, http.StatusServiceUnavailable) // refused at once, with a Retry-After header
 			is.True(last.header.Get("Retry-After") != "")
 			is.True(last.took < 300*time.Millisecond)
 		})
 	}
 }
 
-// TestNodeThatStartsLaterHoldsBackToo starts a node once the others hold a request back.
+// TestNodeThatStartsLaterHoldsBackToo starts a node after the others hold a request back.
 func TestNodeThatStartsLaterHoldsBackToo(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -133,8 +132,8 @@
 	is.True(len(b.sent(crashPath)) <= sent+1) // a trial, at the most
 }
 
-// TestNodeThatWasCutOffHoldsBackToo cuts a node off from the others and from the store while they learn of a request that
-// crashes targets. It counts as in touch 3 s after it is back, and must hold the request back from then on.
+// TestNodeThatWasCutOffHoldsBackToo separates a node from the others and from the store while they learn of a request that
+// crashes targets. The node must hold it back from 3 s after the connection is restored.
 func TestNodeThatWasCutOffHoldsBackToo(t *testing.T) {
 	const (
 		linkBytes = 2_000_000
@@ -167,7 +166,7 @@
 	is.True(held >= 3-again)
 }
 
-// TestRequestThatIsCuredIsServedAgain has targets that bear the request once they have started again.
+// TestRequestThatIsCuredIsServedAgain has targets that no longer crash under the request after their restart.
 func TestRequestThatIsCuredIsServedAgain(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
@@ -191,7 +190,7 @@
 	f.eventually("all know", func() bool { return f.logLines("event=request_lifted") >= 3 })
 }
 
-// TestOperatorLiftsARequest lists what is held back, and lifts it, as an administrator; without a token nothing is told.
+// TestOperatorLiftsARequest lists a held request and lifts it as an administrator. Without a token nothing is listed.
 func TestOperatorLiftsARequest(t *testing.T) {
 	is := is.New(t)
 	sum := sha256.Sum256([]byte(adminToken))
@@ -231,8 +230,8 @@
 	})
 }
 
-// TestOthersAreNotBlamed lets targets crash by themselves again and again, with requests at work that many send, one of
-// them all the time; other targets lose connections, and one leaves with requests at work. Nothing is held back.
+// TestOthersAreNotBlamed has targets crash independently of requests, with concurrent repeated requests in flight, others lose
+// connections, and one leave with requests in flight. No request may be held back.
 func TestOthersAreNotBlamed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -275,11 +274,11 @@
 	is.True(served > 0)
 	is.Equal(f.logLines("event=request_held"), 0)
 	is.Equal(f.logLines("held back"), 0)
-	is.True(f.logLines("outcome=silent", "door=open") > 0) // there were some
+	is.True(f.logLines("outcome=silent", "door=open") > 0) // the case occurred
 }
 
-// TestLostConnectionsAreNoCrashes has a target that loses the connection of each request and goes on: nothing is held
-// against the requests, though none of them ever gets an answer.
+// TestLostConnectionsAreNoCrashes has a target that drops the connection of each request and keeps running. No request may be
+// suspected, although none gets a response.
 func TestLostConnectionsAreNoCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
