--- a/node/crash_own_test.go
+++ b/node/crash_own_test.go
@@ -17,8 +17,8 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// A fragileTarget is a target of the fleet's own interface that drops all its connections while it runs a request for /get/crash,
-// shuts its door a moment later, and is back at its address after some time, under its id: documents name it.
+// A fragileTarget is a target of the fleet's own interface that documents name. A request for crashPath makes it drop all connections
+// and close its listener a moment later. It listens again at the same address and with the same id after some time.
 type fragileTarget struct {
 	address string
 
@@ -105,7 +105,7 @@
 	})
 }
 
-// newFragileFleet starts three nodes with a service of the fleet's own interface on 12 such targets.
+// newFragileFleet starts three nodes and a service of the fleet's own interface with 12 such targets.
 func newFragileFleet(t *testing.T) (*fleet, []*fragileTarget) {
 	hash := func(s string) []byte {
 		sum := sha256.Sum256([]byte(s))
@@ -134,7 +134,7 @@
 	return f, targets
 }
 
-// askOwn asks the node for a path of the fleet's own interface, under the node's own host name.
+// askOwn requests a path of the fleet's own interface from the node, under the node's own host name.
 func (f *fleet) askOwn(n *testNode, path string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+n.callers+path, nil)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return res.StatusCode
 }
 
-// sendOthers asks 40 times a second for so long, half of the times for one and the same path, and counts the answers by status.
+// sendOthers sends 40 requests per second for the duration, half of them for one path, and counts the responses by status.
 func (f *fleet) sendOthers(long time.Duration) (statuses map[int]int) {
 	statuses = map[int]int{}
 	var mu sync.Mutex
@@ -173,8 +173,8 @@
 	return statuses
 }
 
-// Targets of the fleet's own interface have one id for all their lives, and a request comes under another host at each node.
-// It crashed 60 targets in 20 s, and took two thirds of what others asked from them.
+// TestOwnInterfaceHoldsBackWhatCrashesTargets repeats a request that crashes targets which keep their id across restarts, under
+// a different host at each node. It crashed 60 targets in 20 s, and other requests lost two thirds of their capacity.
 func TestOwnInterfaceHoldsBackWhatCrashesTargets(t *testing.T) {
 	is := is.New(t)
 	f, targets := newFragileFleet(t)
@@ -204,10 +204,10 @@
 		}
 	}
 	is.True(late <= maxLateSends)
-	is.Equal(statuses[http.StatusOK], sum(statuses)) // what others ask for is served
+	is.Equal(statuses[http.StatusOK], sum(statuses)) // other requests are served
 }
 
-// TestOwnInterfaceBlamesNobodyForCrashes lets the same targets crash by themselves, one each 0.7 s.
+// TestOwnInterfaceBlamesNobodyForCrashes has the same targets crash independently of requests, one every 0.7 s.
 func TestOwnInterfaceBlamesNobodyForCrashes(t *testing.T) {
 	is := is.New(t)
 	f, targets := newFragileFleet(t)
