--- a/node/cleared_test.go
+++ b/node/cleared_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestClearedRowsAreStored has targets crash under a request that they serve well later on. The row of a request that was
-// cleared became empty, which the store refuses, and the node took that for an outage: the row stayed as it was, so that a
-// node that started later held back what all others serve, and the write was made again each second.
+// TestClearedRowsAreStored has targets crash under a request that they serve later. The row of a cleared request became empty,
+// which the store refuses, and the node mistook that for an outage: the row stayed, so that a node that started later held
+// back what all others served, and the write was repeated every second.
 func TestClearedRowsAreStored(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
@@ -46,12 +46,12 @@
 	}
 }
 
-// suspectRows counts the rows of requests under which targets crashed.
+// suspectRows counts the store's rows of suspects.
 func (f *fleet) suspectRows() int {
 	return len(f.store.Range("tinladder-suspects", "", "", "", 500).Rows)
 }
 
-// writes counts the writes that came to the store.
+// writes counts the writes that reached the store.
 func (f *fleet) writes() (count int) {
 	for _, n := range f.nodes {
 		count += n.door.Usage().Writes
