--- a/node/services.go
+++ b/node/services.go
@@ -351,10 +351,10 @@
 
 // report sends this node's view of the service to other nodes: its load to the carriers of this hall, at most once per
 // nearReportInterval; the load of a target in another hall to that hall's carriers too, at once; evidence to all users, at once.
-func (s *services) report(svc *service, w pool.ChangeKind, of ident.Hall) {
+func (s *services) report(svc *service, kind pool.ChangeKind, hall ident.Hall) {
 	now := s.node.clock.Now()
 	svc.mu.Lock()
-	if wait := nearReportInterval - (now - svc.lastNearReport); w == pool.LocalLoad && wait > 0 {
+	if wait := nearReportInterval - (now - svc.lastNearReport); kind == pool.LocalLoad && wait > 0 {
 		if !svc.flushScheduled {
 			svc.flushScheduled = true
 			time.AfterFunc(wait.Duration(), func() { s.flush(svc) })
@@ -364,16 +364,16 @@
 	}
 	to := sameHallCarriers
 	switch {
-	case w == pool.HealthEvidence:
+	case kind == pool.HealthEvidence:
 		to, svc.lastFarReport = allUsers, now
 	case now-svc.lastFarReport >= farReportInterval:
 		to, svc.lastFarReport = allCarriers, now
-	case w == pool.RemoteLoad:
+	case kind == pool.RemoteLoad:
 		to = targetHallCarriers
 	}
 	svc.lastNearReport = now
 	svc.mu.Unlock()
-	s.send(svc, to, of)
+	s.send(svc, to, hall)
 }
 
 // An audience is the set of nodes that receive a report.
@@ -399,7 +399,7 @@
 	s.report(svc, pool.LocalLoad, s.node.hall())
 }
 
-func (s *services) send(svc *service, to audience, of ident.Hall) {
+func (s *services) send(svc *service, to audience, hall ident.Hall) {
 	n := s.node
 	r := svc.pool.Report(false)
 	if r == nil {
@@ -409,7 +409,7 @@
 	members := n.carriers.inOwnHall(svc.name)
 	switch to {
 	case targetHallCarriers:
-		members = slices.Concat(members, n.carriers.inHall(n.carriers.groupOf(svc.name), of))
+		members = slices.Concat(members, n.carriers.inHall(n.carriers.groupOf(svc.name), hall))
 	case allCarriers:
 		members = n.carriers.all(svc.name)
 	case allUsers:
