--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -13,8 +13,8 @@
 // evacuationTimeout is the time within which a hall's targets must stop getting requests after the evacuation.
 const evacuationTimeout = 3 * time.Second
 
-// halls starts a fleet with targets in two halls.
-func halls(t *testing.T) (f *fleet, inHall map[string][]*standin.Target) {
+// newTwoHallFleet starts a fleet with targets in two halls.
+func newTwoHallFleet(t *testing.T) (f *fleet, inHall map[string][]*standin.Target) {
 	f = newFleet(t, 6)
 	f.calm(1)
 	inHall = map[string][]*standin.Target{}
@@ -53,7 +53,7 @@
 // TestEvacuatedHallGetsNothing evacuates a hall under load. The row was not read, so that its targets went on getting requests.
 // Nodes that the store refuses, and one that starts later, must respect it too. After the restore the hall gets work again.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
-	f, inHall := halls(t)
+	f, inHall := newTwoHallFleet(t)
 	f.sendFor("before", 300*time.Millisecond)
 	if arrivals(inHall["h0"]) == 0 {
 		t.Fatal("the hall got no work before")
@@ -88,7 +88,7 @@
 
 // TestEvacuationOutlastsAllNodes restarts all nodes while a hall is evacuated: they must know of it before they serve.
 func TestEvacuationOutlastsAllNodes(t *testing.T) {
-	f, inHall := halls(t)
+	f, inHall := newTwoHallFleet(t)
 	f.store.Evacuate("h0")
 	for _, n := range f.nodes {
 		n.node.Close()
--- a/node/limiter.go
+++ b/node/limiter.go
@@ -10,14 +10,14 @@
 type limiter struct {
 	total int
 
-	mu   sync.Mutex
-	used map[ident.Workspace]int
-	sum  int
+	mu          sync.Mutex
+	byWorkspace map[ident.Workspace]int
+	sum         int
 }
 
 // newLimiter returns a limiter that admits total requests at a time.
 func newLimiter(total int) *limiter {
-	return &limiter{total: total, used: map[ident.Workspace]int{}}
+	return &limiter{total: total, byWorkspace: map[ident.Workspace]int{}}
 }
 
 // acquire admits a request unless the workspace is at its own limit or uses as much as is still free. A single workspace thus
@@ -25,11 +25,11 @@
 func (l *limiter) acquire(w ident.Workspace, limit int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.used[w]
+	n := l.byWorkspace[w]
 	if n >= limit || n >= l.total-l.sum {
 		return false
 	}
-	l.used[w]++
+	l.byWorkspace[w]++
 	l.sum++
 	return true
 }
@@ -39,9 +39,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sum--
-	l.used[w]--
-	if l.used[w] == 0 {
-		delete(l.used, w)
+	l.byWorkspace[w]--
+	if l.byWorkspace[w] == 0 {
+		delete(l.byWorkspace, w)
 	}
 }
 
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -80,9 +80,9 @@
 	sharing := n.carriers.sharers()
 	q.observeLive(live, now)
 	started := now-n.duty.since < startupPeriod
-	named, met := q.seedsReached()
+	seeds, reached := q.seedsReached()
 	v := limit.View{
-		Seeds: named, SeedsReached: met,
+		Seeds: seeds, SeedsReached: reached,
 		Sharers: nodeNames(sharing), IsSharer: n.isAmong(sharing),
 		SharerCount: len(sharing), Live: live, PeakLive: q.peakLive.see(live, now),
 		Isolated: n.peers.lonely() && now-n.duty.since < isolationPeriod, JustStarted: q.justStarted(), ColdStart: started && q.isColdStart(),
@@ -95,7 +95,7 @@
 
 // seedsReached returns the number of configured seeds and how many of them are in contact. It returns 0, 0 once all have been
 // reached at the same time, and after isolationPeriod, when the missing ones are considered gone.
-func (q *quotas) seedsReached() (named, met int) {
+func (q *quotas) seedsReached() (configured, reached int) {
 	n := q.node
 	seeds := slices.Compact(slices.Sorted(slices.Values(n.settings().Fleet.Seeds)))
 	if q.reachedAllSeeds.Load() || n.clock.Now()-n.duty.since >= isolationPeriod {
@@ -108,10 +108,10 @@
 	}
 	for _, a := range seeds {
 		if heard[a] {
-			met++
+			reached++
 		}
 	}
-	return len(seeds), met
+	return len(seeds), reached
 }
 
 // isColdStart reports whether nearly all known nodes started together with this one.
--- a/node/retries.go
+++ b/node/retries.go
@@ -26,7 +26,7 @@
 	n := s.node
 	live := len(n.members.Live()) + 1
 	r := n.settings().Retries
-	v := pool.FleetView{Live: live, PeakLive: s.most.see(live, n.clock.Now()), JustStarted: n.clock.Now()-n.duty.since < r.Window.Millis()}
+	v := pool.FleetView{Live: live, PeakLive: s.peakNodes.see(live, n.clock.Now()), JustStarted: n.clock.Now()-n.duty.since < r.Window.Millis()}
 	carriers := n.carriers.all(svc.name)
 	svc.mu.Lock()
 	v.Carriers, v.Carries = svc.sharers.Observe(nodeNames(carriers), n.isAmong(carriers) && v.HasQuorum(), first, n.clock.Now())
--- a/node/services.go
+++ b/node/services.go
@@ -84,8 +84,8 @@
 	// noTargets is set while no target is known. The first ones are then taken over at once: requests wait for them.
 	noTargets  bool
 	trialRanks *trialRanks
-	// most is the recent maximum of the number of nodes.
-	most peak
+	// peakNodes is the recent maximum of the number of nodes.
+	peakNodes peak
 	// peerBeliefLines limits the log lines about changes of belief that other nodes' reports caused.
 	peerBeliefLines *logs.Limiter
 }
@@ -94,7 +94,7 @@
 const maxPeerBeliefLines = 16
 
 func newServices(n *Node) *services {
-	return &services{node: n, byName: map[string]*service{}, most: peak{keep: knownFor}, trialRanks: newTrialRanks(n.self.Node), peerBeliefLines: logs.NewLimiter(n.clock, maxPeerBeliefLines)}
+	return &services{node: n, byName: map[string]*service{}, peakNodes: peak{keep: knownFor}, trialRanks: newTrialRanks(n.self.Node), peerBeliefLines: logs.NewLimiter(n.clock, maxPeerBeliefLines)}
 }
 
 // get returns the service with its targets loaded, creating it if necessary.
