--- a/node/answer.go
+++ b/node/answer.go
@@ -88,9 +88,9 @@
 	switch {
 	case x.usedLease == nil:
 	case err == nil:
-		x.node.suspects.good(x)
+		x.node.suspects.recordSuccess(x)
 	case errors.Is(err, errResponseTruncated):
-		x.lost(context.Background(), x.usedLease)
+		x.probeAfterLoss(context.Background(), x.usedLease)
 	}
 }
 
@@ -160,7 +160,7 @@
 	p.fractionalSeconds = x.headers.FractionalRetryAfter
 	x.node.leaving.sendAway(x.w)
 	p.Write(x.w)
-	x.node.events.failed(x.service.name, p.Outcome)
+	x.node.events.countFailure(x.service.name, p.Outcome)
 	x.retryAfter = p.RetryAfter
 	x.recordEnd(p.Status, c, p.Detail+": "+err.Error())
 }
@@ -197,7 +197,7 @@
 		}
 	}
 	h.Set(HeaderPassed, passToHome)
-	h.Set(HeaderCaller, callerOf(x.r))
+	h.Set(HeaderCaller, callerAddress(x.r))
 	h.Set(HeaderPeerKey, x.node.keys.peerKey())
 	h.Set(x.headers.RequestID, x.id)
 	ctx, cancel := x.context()
--- a/node/crash_kinds_test.go
+++ b/node/crash_kinds_test.go
@@ -20,13 +20,13 @@
 	"github.com/tinladder/tinladder/schema/tinladder/v1/tinladderv1connect"
 )
 
-// insist sends the request to one node after the other, for so long, and returns the last reply.
-func (f *fleet) insist(method, path, body string, every, long time.Duration) (last reply) {
-	return f.insistWith(func(int) string { return path }, method, body, every, long)
+// repeat sends the request to the nodes in turn for the duration and returns the last reply.
+func (f *fleet) repeat(method, path, body string, every, long time.Duration) (last reply) {
+	return f.repeatWith(func(int) string { return path }, method, body, every, long)
 }
 
-// insistWith does the same with a path and query for each time.
-func (f *fleet) insistWith(path func(i int) string, method, body string, every, long time.Duration) (last reply) {
+// repeatWith does the same with a path and query computed per attempt.
+func (f *fleet) repeatWith(path func(i int) string, method, body string, every, long time.Duration) (last reply) {
 	f.t.Helper()
 	end := time.Now().Add(long)
 	for i := 0; time.Now().Before(end); i++ {
@@ -36,7 +36,7 @@
 	return last
 }
 
-// callsFromAnywhere has each new connection of the fleet's caller come from another address.
+// callsFromAnywhere gives each new connection of the fleet's client another source address.
 func callsFromAnywhere(f *fleet) {
 	var count atomic.Int32
 	f.http.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -45,8 +45,8 @@
 	}}
 }
 
-// seen counts the lines of all nodes' logs with the words.
-func (f *fleet) seen(words ...string) (count int) {
+// logLines counts the log lines of all nodes that contain all of the words.
+func (f *fleet) logLines(words ...string) (count int) {
 	for _, n := range f.nodes {
 		for line := range strings.Lines(n.log.String()) {
 			all := true
@@ -61,17 +61,16 @@
 	return count
 }
 
-// TestRequestsOfAllKindsThatCrashTargets sends one such request again and again, of each kind, to nodes in each state in
-// which they may be.
+// TestRequestsOfAllKindsThatCrashTargets repeats a request that crashes targets, for each kind of request and each state of nodes.
 func TestRequestsOfAllKindsThatCrashTargets(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		method, path string
 		body         string
 		fleet        fleet
-		// queries says that it comes with another query each time.
+		// queries gives the request another query each time.
 		queries bool
-		// before is done once all are ready.
+		// before runs once all are ready.
 		before func(f *fleet)
 	}{
 		{name: "many callers", method: http.MethodGet, path: crashPath, before: callsFromAnywhere},
@@ -90,28 +89,28 @@
 			is := is.New(t)
 			f := startFleet(t, 3, &fleet{lonely: c.fleet.lonely, via: func(s string) string { return s }})
 			f.calm(1)
-			b := newBrittleOn(f, 9, c.path)
+			b := newTargetsCrashingOn(f, 9, c.path)
 			f.ready(1, 9)
 			if c.before != nil {
 				c.before(f)
 			}
-			last := f.insistWith(func(i int) string {
+			last := f.repeatWith(func(i int) string {
 				if c.queries {
 					return fmt.Sprint(c.path, "?page=", i)
 				}
 				return c.path
 			}, c.method, c.body, 150*time.Millisecond, 6*time.Second)
 			t.Logf("%d sends, %d crashes, %d late", len(b.sent(c.path)), len(b.crashes), b.late(c.path))
-			is.True(b.late(c.path) <= lateSends)
+			is.True(b.late(c.path) <= maxLateSends)
 			is.True(len(b.sent(c.path)) >= 3)
-			is.Equal(last.status, http.StatusServiceUnavailable) // refused at once, with a word on when to come back
+			is.Equal(last.status, http.StatusServiceUnavailable) // refused at once, with a Retry-After header
 			is.True(last.header.Get("Retry-After") != "")
 			is.True(last.took < 300*time.Millisecond)
 		})
 	}
 }
 
-// TestNodeThatStartsLaterHoldsBackToo starts a node once the others hold a request back.
+// TestNodeThatStartsLaterHoldsBackToo starts a node after the others hold a request back.
 func TestNodeThatStartsLaterHoldsBackToo(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -120,9 +119,9 @@
 	<-late.node.Done()
 	f.nodes = f.nodes[:2]
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
-	f.insist(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
+	f.repeat(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
 	sent := len(b.sent(crashPath))
 	f.nodes = append(f.nodes, late)
 	f.start(late)
@@ -133,8 +132,8 @@
 	is.True(len(b.sent(crashPath)) <= sent+1) // a trial, at the most
 }
 
-// TestNodeThatWasCutOffHoldsBackToo cuts a node off from the others and from the store while they learn of a request that
-// crashes targets. It counts as in touch 3 s after it is back, and must hold the request back from then on.
+// TestNodeThatWasCutOffHoldsBackToo separates a node from the others and from the store while they learn of a request that
+// crashes targets. The node must hold it back from 3 s after the connection is restored.
 func TestNodeThatWasCutOffHoldsBackToo(t *testing.T) {
 	const (
 		linkBytes = 2_000_000
@@ -143,14 +142,14 @@
 	is := is.New(t)
 	f := newFleetOnLinks(t, 3, linkBytes)
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
 	all, cut := f.nodes, f.nodes[2]
 	f.nodes = all[:2]
 	cut.relay.SetCut(true)
 	cut.door.SetFaults(standin.Faults{Away: standin.Reset})
-	f.insist(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
-	f.eventually("the others hold it back", func() bool { return f.seen("event=request_held") >= 2 })
+	f.repeat(http.MethodGet, crashPath, "", 100*time.Millisecond, 1500*time.Millisecond)
+	f.eventually("the others hold it back", func() bool { return f.logLines("event=request_held") >= 2 })
 	sent := len(b.sent(crashPath))
 	cut.door.SetFaults(standin.Faults{})
 	cut.relay.SetCut(false)
@@ -167,15 +166,15 @@
 	is.True(held >= 3-again)
 }
 
-// TestRequestThatIsCuredIsServedAgain has targets that bear the request once they have started again.
+// TestRequestThatIsCuredIsServedAgain has targets that no longer crash under the request after their restart.
 func TestRequestThatIsCuredIsServedAgain(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
 	f.eventually("it is held back", func() bool {
-		f.insist(http.MethodGet, crashPath, "", 50*time.Millisecond, 50*time.Millisecond)
-		return f.seen("event=request_held") >= 3
+		f.repeat(http.MethodGet, crashPath, "", 50*time.Millisecond, 50*time.Millisecond)
+		return f.logLines("event=request_held") >= 3
 	})
 	for _, target := range b.list {
 		target.CrashOn("")
@@ -188,10 +187,10 @@
 		}
 		return true
 	})
-	f.eventually("all know", func() bool { return f.seen("event=request_lifted") >= 3 })
+	f.eventually("all know", func() bool { return f.logLines("event=request_lifted") >= 3 })
 }
 
-// TestOperatorLiftsARequest lists what is held back, and lifts it, as an administrator; without a token nothing is told.
+// TestOperatorLiftsARequest lists a held request and lifts it as an administrator. Without a token nothing is listed.
 func TestOperatorLiftsARequest(t *testing.T) {
 	is := is.New(t)
 	sum := sha256.Sum256([]byte(adminToken))
@@ -199,9 +198,9 @@
 		return fmt.Sprintf("[operators]\nadmin_token_sha256 = %q\n", hex.EncodeToString(sum[:]))
 	}})
 	f.calm(1)
-	b := newBrittle(f, 6)
+	b := newCrashingTargets(f, 6)
 	f.ready(1, 6)
-	f.insist(http.MethodGet, crashPath+"?secret=1", "", 100*time.Millisecond, time.Second)
+	f.repeat(http.MethodGet, crashPath+"?secret=1", "", 100*time.Millisecond, time.Second)
 	c := tinladderv1connect.NewOperatorServiceClient(f.http, "http://"+f.nodes[0].operators)
 	_, err := c.Quarantine(context.Background(), connect.NewRequest(&tlv1.QuarantineRequest{}))
 	is.Equal(connect.CodeOf(err), connect.CodeUnauthenticated)
@@ -231,13 +230,13 @@
 	})
 }
 
-// TestOthersAreNotBlamed lets targets crash by themselves again and again, with requests at work that many send, one of
-// them all the time; other targets lose connections, and one leaves with requests at work. Nothing is held back.
+// TestOthersAreNotBlamed has targets crash independently of requests, with concurrent repeated requests in flight, others lose
+// connections, and one leave with requests in flight. No request may be held back.
 func TestOthersAreNotBlamed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 9)
+	b := newCrashingTargets(f, 9)
 	f.ready(1, 9)
 	for i, target := range b.list {
 		target.Takes = 30 * time.Millisecond
@@ -271,15 +270,15 @@
 	}
 	<-done
 	t.Logf("%d served; %d crashes seen under it, %d lost connections with an open door",
-		served, f.seen("event=request_suspected", "by=seen"), f.seen("outcome=silent", "door=open"))
+		served, f.logLines("event=request_suspected", "by=seen"), f.logLines("outcome=silent", "door=open"))
 	is.True(served > 0)
-	is.Equal(f.seen("event=request_held"), 0)
-	is.Equal(f.seen("held back"), 0)
-	is.True(f.seen("outcome=silent", "door=open") > 0) // there were some
+	is.Equal(f.logLines("event=request_held"), 0)
+	is.Equal(f.logLines("held back"), 0)
+	is.True(f.logLines("outcome=silent", "door=open") > 0) // the case occurred
 }
 
-// TestLostConnectionsAreNoCrashes has a target that loses the connection of each request and goes on: nothing is held
-// against the requests, though none of them ever gets an answer.
+// TestLostConnectionsAreNoCrashes has a target that drops the connection of each request and keeps running. No request may be
+// suspected, although none gets a response.
 func TestLostConnectionsAreNoCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
@@ -289,6 +288,6 @@
 	for i := range 8 {
 		is.Equal(f.call(f.nodes[i%2], http.MethodPost, "/once/same", fmt.Sprint("lost-", i), "order").status, http.StatusBadGateway)
 	}
-	is.True(f.seen("outcome=silent", "door=open") > 0)
-	is.Equal(f.seen("event=request_suspected"), 0)
+	is.True(f.logLines("outcome=silent", "door=open") > 0)
+	is.Equal(f.logLines("event=request_suspected"), 0)
 }
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// crashPath is what no target bears.
+	// crashPath is the path under which targets crash.
 	crashPath = "/get/crash"
-	// contact is how long the fleet has to hold such a request back once three targets have crashed, and lateSends how
+	// containmentTime is the time the fleet has to hold such a request back after three targets have crashed. maxLateSends is how
 	// often it may be sent after that.
-	contact   = 3 * time.Second
-	lateSends = 3
-	// backAfter is how long a target that crashed takes to start again.
-	backAfter = 700 * time.Millisecond
+	containmentTime = 3 * time.Second
+	maxLateSends    = 3
+	// restartDelay is how long a crashed target takes to restart.
+	restartDelay = 700 * time.Millisecond
 )
 
-// brittle are targets that crash under crashPath and start again, each time under a new id.
-type brittle struct {
+// crashingTargets are targets that crash under a path and restart, each time with a new id.
+type crashingTargets struct {
 	f    *fleet
 	list []*standin.Target
 	done chan struct{}
@@ -35,13 +35,13 @@
 	starts  int
 }
 
-func newBrittle(f *fleet, count int) *brittle {
-	return newBrittleOn(f, count, crashPath)
+func newCrashingTargets(f *fleet, count int) *crashingTargets {
+	return newTargetsCrashingOn(f, count, crashPath)
 }
 
-// newBrittleOn starts targets that crash under another path.
-func newBrittleOn(f *fleet, count int, path string) *brittle {
-	b := &brittle{f: f, done: make(chan struct{})}
+// newTargetsCrashingOn starts targets that crash under the given path.
+func newTargetsCrashingOn(f *fleet, count int, path string) *crashingTargets {
+	b := &crashingTargets{f: f, done: make(chan struct{})}
 	for i := range count {
 		t := f.target(fmt.Sprint("t", i), "desk")
 		t.CrashOn(path)
@@ -56,8 +56,8 @@
 	return b
 }
 
-// restart starts targets again that have crashed for long enough.
-func (b *brittle) restart() {
+// restart records crashes and restarts targets restartDelay later.
+func (b *crashingTargets) restart() {
 	defer b.wg.Done()
 	seen := map[*standin.Target]time.Time{}
 	for {
@@ -77,7 +77,7 @@
 				b.crashes = append(b.crashes, at)
 				b.mu.Unlock()
 			}
-			if time.Since(at) > backAfter {
+			if time.Since(at) > restartDelay {
 				b.mu.Lock()
 				b.starts++
 				id := fmt.Sprint("again", b.starts)
@@ -90,8 +90,8 @@
 	}
 }
 
-// sent returns when targets got requests for the path.
-func (b *brittle) sent(path string) []time.Time {
+// sent returns the times at which targets got requests for the path.
+func (b *crashingTargets) sent(path string) []time.Time {
 	var list []time.Time
 	for _, t := range b.list {
 		for _, s := range t.Seen() {
@@ -104,8 +104,8 @@
 	return list
 }
 
-// late counts the requests for the path that targets got later than contact after the third crash.
-func (b *brittle) late(path string) (count int) {
+// late counts the requests for the path that reached targets later than containmentTime after the third crash.
+func (b *crashingTargets) late(path string) (count int) {
 	b.mu.Lock()
 	crashes := sortedTimes(b.crashes)
 	b.mu.Unlock()
@@ -113,26 +113,21 @@
 		return 0
 	}
 	for _, at := range b.sent(path) {
-		if at.Sub(crashes[2]) > contact {
+		if at.Sub(crashes[2]) > containmentTime {
 			count++
 		}
 	}
 	return count
 }
 
-// A request crashed each target that ran it. Its caller sent it again and again, at any node, and each node sent it on as if
-// it had never come before, and tried it at a second target besides: nothing remembered what had happened under it. Eight of
-// eight targets of a service were gone within three seconds of the first crash, and 15 sends too many came in one series:
-//
-//	21.24 front-kranj-cit-5 event=attempt_failed outcome=silent error="read answer: unexpected EOF" target=i-5c698df52d
-//	21.34 front-kranj-cit-5 event=attempt_failed outcome=silent error="read answer: unexpected EOF" target=i-848b017625
-//	22.09 front-novo-mesto-cit-6 event=attempt_failed outcome=silent error="read answer: unexpected EOF" target=i-4d42202ca0
-//
-// What many others ask for meanwhile is served.
+// TestRequestThatCrashesTargetsStopsBeingSent repeats a request that crashes each target that runs it, at all nodes. Nodes kept
+// no record of the crashes (their attempts ended with outcome=silent, "unexpected EOF"), forwarded it each time, and retried it
+// at a second target. All eight targets of a service crashed within 3 s, and 15 sends too many came in one series. Other
+// requests must be served meanwhile.
 func TestRequestThatCrashesTargetsStopsBeingSent(t *testing.T) {
 	f := newFleet(t, 3)
 	f.calm(1)
-	b := newBrittle(f, 12)
+	b := newCrashingTargets(f, 12)
 	f.ready(1, 12)
 	end := time.Now().Add(8 * time.Second)
 	var wg sync.WaitGroup
@@ -154,8 +149,8 @@
 		asked++
 	}
 	wg.Wait()
-	if late := b.late(crashPath); late > lateSends {
-		t.Errorf("it was sent %d times more than %v after the third crash; %d sends, %d crashes in all", late, contact, len(b.sent(crashPath)), len(b.crashes))
+	if late := b.late(crashPath); late > maxLateSends {
+		t.Errorf("it was sent %d times more than %v after the third crash; %d sends, %d crashes in all", late, containmentTime, len(b.sent(crashPath)), len(b.crashes))
 	}
 	if lost := asked - served; lost*100 > asked {
 		t.Errorf("%d of %d other requests were not served", lost, asked)
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -10,11 +10,11 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// evacuateWithin is how soon after the operator's word a hall's targets may get nothing more.
-const evacuateWithin = 3 * time.Second
+// evacuationTimeout is the time within which a hall's targets must stop getting requests after the evacuation.
+const evacuationTimeout = 3 * time.Second
 
-// halls starts a fleet with targets in two halls.
-func halls(t *testing.T) (f *fleet, inHall map[string][]*standin.Target) {
+// newTwoHallFleet starts a fleet with targets in two halls.
+func newTwoHallFleet(t *testing.T) (f *fleet, inHall map[string][]*standin.Target) {
 	f = newFleet(t, 6)
 	f.calm(1)
 	inHall = map[string][]*standin.Target{}
@@ -31,7 +31,7 @@
 	return f, inHall
 }
 
-// arrivals counts the requests that came to the targets.
+// arrivals counts the requests that reached the targets.
 func arrivals(targets []*standin.Target) (count int) {
 	for _, t := range targets {
 		count += len(t.Seen())
@@ -39,8 +39,8 @@
 	return count
 }
 
-// press sends requests to all nodes for so long and returns how many were not served.
-func (f *fleet) press(what string, long time.Duration) (unserved int) {
+// sendFor sends requests to all nodes for the duration and returns how many were not served.
+func (f *fleet) sendFor(what string, long time.Duration) (unserved int) {
 	for i, end := 0, time.Now().Add(long); time.Now().Before(end); i++ {
 		if f.call(f.nodes[i%len(f.nodes)], http.MethodGet, "/get/a", fmt.Sprint(what, i), "").status != http.StatusOK {
 			unserved++
@@ -50,25 +50,25 @@
 	return unserved
 }
 
-// TestEvacuatedHallGetsNothing evacuates a hall while callers ask. The row was not read at all: its targets got what they
-// always got. Nodes that the store turns away, and one that starts later, keep to it too; once restored it gets work again.
+// TestEvacuatedHallGetsNothing evacuates a hall under load. The row was not read, so that its targets went on getting requests.
+// Nodes that the store refuses, and one that starts later, must respect it too. After the restore the hall gets work again.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
-	f, inHall := halls(t)
-	f.press("before", 300*time.Millisecond)
+	f, inHall := newTwoHallFleet(t)
+	f.sendFor("before", 300*time.Millisecond)
 	if arrivals(inHall["h0"]) == 0 {
 		t.Fatal("the hall got no work before")
 	}
 	f.nodes[4].door.SetFaults(standin.Faults{Away: standin.Busy})
 	f.nodes[5].door.SetFaults(standin.Faults{Away: standin.Silent})
 	f.store.Evacuate("h0")
-	f.press("soon", evacuateWithin)
+	f.sendFor("soon", evacuationTimeout)
 	was := arrivals(inHall["h0"])
 	late := f.nodes[3]
 	late.stop()
 	<-late.node.Done()
 	f.start(late)
 	f.ready(1, 6)
-	if n := f.press("after", 2*time.Second); n > 0 {
+	if n := f.sendFor("after", 2*time.Second); n > 0 {
 		t.Errorf("%d requests were not served by the other hall", n)
 	}
 	if more := arrivals(inHall["h0"]) - was; more > 0 {
@@ -76,7 +76,7 @@
 	}
 	f.store.Restore("h0")
 	f.eventually("the hall gets work again", func() bool {
-		f.press("back", 50*time.Millisecond)
+		f.sendFor("back", 50*time.Millisecond)
 		return arrivals(inHall["h0"]) > was
 	})
 	for _, n := range f.nodes {
@@ -86,10 +86,9 @@
 	}
 }
 
-// TestEvacuationOutlastsAllNodes ends all nodes of a fleet and starts them again while a hall is evacuated: they know of it
-// before they serve.
+// TestEvacuationOutlastsAllNodes restarts all nodes while a hall is evacuated: they must know of it before they serve.
 func TestEvacuationOutlastsAllNodes(t *testing.T) {
-	f, inHall := halls(t)
+	f, inHall := newTwoHallFleet(t)
 	f.store.Evacuate("h0")
 	for _, n := range f.nodes {
 		n.node.Close()
@@ -100,7 +99,7 @@
 	for _, n := range f.nodes {
 		f.start(n)
 	}
-	f.press("again", 2*time.Second)
+	f.sendFor("again", 2*time.Second)
 	if more := arrivals(inHall["h0"]) - was; more > 0 {
 		t.Errorf("the hall got %d requests", more)
 	}
--- a/node/events.go
+++ b/node/events.go
@@ -14,16 +14,16 @@
 
 const (
 	eventsPrefix = "events/"
-	// maxEvents bounds the events held while the object store is away.
+	// maxEvents is the maximum number of events held while the object store is unavailable.
 	maxEvents = 10_000
-	// eventsPause is the least time between batches, and eventsPerNode what each node of the
-	// fleet adds to it, to stay within the platform's write rate.
-	eventsPause                = 10 * clock.Second
-	eventsPerNode clock.Millis = 50
-	// eventsPage is how many batches one read asks for.
-	eventsPage = 500
-	// eventsOverlap is how much earlier than asked reading begins: a batch is named by the
-	// time it was saved, and a late clock must not hide it.
+	// The interval between batches is at least minBatchInterval and grows by batchIntervalPerNode for each node of the fleet,
+	// to stay within the platform's write rate.
+	minBatchInterval                  = 10 * clock.Second
+	batchIntervalPerNode clock.Millis = 50
+	// eventsPageSize is the number of batches per read.
+	eventsPageSize = 500
+	// eventsOverlap is how much earlier than requested a read starts: batches are named by the time at which they were saved,
+	// and a node whose clock is behind must not be missed.
 	eventsOverlap = 2 * clock.Second
 )
 
@@ -32,7 +32,7 @@
 	outcome Outcome
 }
 
-// An eventLog keeps what this node did by itself in the object store, for the morning.
+// An eventLog saves what this node did on its own to the object store, for the operators' report.
 type eventLog struct {
 	self    ident.Process
 	objects store.Objects
@@ -45,9 +45,9 @@
 	seq      uint64
 	lastSave clock.Millis
 	nodes    int
-	// wanted says that operators read what is saved.
-	wanted bool
-	// saving has one place, for who saves.
+	// enabled reports whether operators read the saved events.
+	enabled bool
+	// saving is a semaphore of one, held while a batch is saved.
 	saving chan struct{}
 }
 
@@ -55,7 +55,7 @@
 	return &eventLog{self: self, objects: o, clock: c, failures: map[failureKey]uint64{}, nodes: 1, saving: make(chan struct{}, 1)}
 }
 
-// add keeps an event until it is saved. When too many wait, the oldest go, and are counted.
+// add keeps an event until it is saved. Beyond maxEvents the oldest are dropped and counted.
 func (l *eventLog) add(e *tlv1.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +72,8 @@
 	l.pending = append(l.pending, e)
 }
 
-// failed counts a request that ended without a target's whole answer.
-func (l *eventLog) failed(service string, o Outcome) {
+// countFailure counts a request that ended without a target's complete response.
+func (l *eventLog) countFailure(service string, o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.failures) < maxEvents {
@@ -81,27 +81,27 @@
 	}
 }
 
-// setNodes says how many nodes share the platform's write rate.
-func (l *eventLog) setNodes(n int) {
+// setNodeCount sets how many nodes share the platform's write rate.
+func (l *eventLog) setNodeCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = n
 }
 
-// tick saves a batch when it is time to.
+// tick saves a batch when one is due.
 func (l *eventLog) tick(ctx context.Context) {
 	l.mu.Lock()
-	due := l.clock.Now()-l.lastSave >= max(eventsPause, eventsPerNode*clock.Millis(l.nodes))
+	due := l.clock.Now()-l.lastSave >= max(minBatchInterval, batchIntervalPerNode*clock.Millis(l.nodes))
 	l.mu.Unlock()
 	if due {
 		l.flush(ctx)
 	}
 }
 
-// flush saves what is pending, once a save that is under way has ended: its events would be saved twice. What could not
-// be saved is kept.
+// flush saves the pending events. It waits for a save in progress, whose events would otherwise be saved twice. Events that
+// could not be saved are kept.
 func (l *eventLog) flush(ctx context.Context) {
-	if !l.wanted {
+	if !l.enabled {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Second.Duration())
@@ -114,7 +114,7 @@
 	}
 	l.mu.Lock()
 	l.lastSave = l.clock.Now()
-	l.gather()
+	l.appendCounts()
 	batch := l.pending
 	l.seq++
 	name := fmt.Sprintf("%s%013d-%s-%d-%d", eventsPrefix, l.lastSave, l.self.Node, l.self.Incarnation, l.seq)
@@ -131,11 +131,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop(batch)
+	l.removeSaved(batch)
 }
 
-// gather turns counts into events. The caller holds the lock.
-func (l *eventLog) gather() {
+// appendCounts turns counters into events. The caller holds the lock.
+func (l *eventLog) appendCounts() {
 	for k, n := range l.failures {
 		e := &tlv1.Event{Kind: tlv1.EventKind_EVENT_KIND_FAILED_REQUESTS, Service: k.service, Count: n, Reason: string(k.outcome)}
 		if svc, err := ident.ParseService(k.service); err == nil {
@@ -151,9 +151,8 @@
 	}
 }
 
-// drop removes saved events. Some may have gone already, for want of room. The caller holds the
-// lock.
-func (l *eventLog) drop(saved []*tlv1.Event) {
+// removeSaved removes saved events, some of which may have been dropped for lack of room already. The caller holds the lock.
+func (l *eventLog) removeSaved(saved []*tlv1.Event) {
 	last := saved[len(saved)-1]
 	for i, e := range l.pending {
 		if e == last {
@@ -163,13 +162,13 @@
 	}
 }
 
-// since returns the saved and unsaved events of a workspace; all workspaces if it is empty.
+// since returns the saved and unsaved events of a workspace, or of all workspaces if it is empty.
 func (l *eventLog) since(ctx context.Context, w ident.Workspace, from clock.Millis) (events []*tlv1.Event, err error) {
 	after := fmt.Sprintf("%s%013d", eventsPrefix, max(from-eventsOverlap, 0))
 	for {
-		objects, err := l.objects.List(ctx, eventsPrefix, after, eventsPage)
+		objects, err := l.objects.List(ctx, eventsPrefix, after, eventsPageSize)
 		if err != nil {
-			return l.own(w, from), err
+			return l.unsaved(w, from), err
 		}
 		for _, o := range objects {
 			b := &tlv1.EventBatch{}
@@ -179,16 +178,16 @@
 			events = append(events, filter(b.GetEvents(), w, from)...)
 			after = o.Name
 		}
-		if len(objects) < eventsPage {
-			return append(events, l.own(w, from)...), nil
+		if len(objects) < eventsPageSize {
+			return append(events, l.unsaved(w, from)...), nil
 		}
 	}
 }
 
-func (l *eventLog) own(w ident.Workspace, from clock.Millis) []*tlv1.Event {
+func (l *eventLog) unsaved(w ident.Workspace, from clock.Millis) []*tlv1.Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gather()
+	l.appendCounts()
 	return filter(l.pending, w, from)
 }
 
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -60,7 +60,7 @@
 	head []byte
 	// owner is the workspace that the request's key belongs to; on the fleet's own API it is the service.
 	owner         string
-	fingerprinted fingerprintsOnce
+	fingerprinted lazyFingerprints
 	// allowedHalls are the halls whose targets may get the request; nil allows all.
 	allowedHalls map[ident.Hall]bool
 	// usedLease is the lease of the attempt whose response is sent to the caller.
@@ -105,7 +105,7 @@
 		x.rejectBody(err, NotRun)
 		return
 	}
-	if x.heldBack(t) {
+	if x.refuseIfHeld(t) {
 		return
 	}
 	x.service.pool.RetryBudget().AddRequest()
@@ -117,7 +117,7 @@
 			x.giveUp(err, t)
 			return
 		}
-		if x.heldMeanwhile(l, t) {
+		if x.refuseIfHeldSince(l, t) {
 			return
 		}
 		a, err := x.race(ctx, l)
@@ -202,10 +202,10 @@
 	}
 	e := attemptEnd{lease: t.lease, response: a, err: err, outcome: x.outcome(ctx, a, err, t.lease, took)}
 	if e.outcome == pool.ConnectionLost {
-		e.probe = x.lost(ctx, t.lease)
+		e.probe = x.probeAfterLoss(ctx, t.lease)
 	}
 	if e.outcome == pool.Good && a.Rest == nil {
-		x.node.suspects.good(x)
+		x.node.suspects.recordSuccess(x)
 	}
 	t.lease.Done(e.outcome, a != nil && x.targetClosing(a))
 	if e.outcome == pool.Late || e.outcome == pool.ConnectionLost {
@@ -273,7 +273,7 @@
 
 // policy returns which attempts the request allows.
 func (x *exchange) policy() attempt.Policy {
-	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.MaxAttempts, SingleTarget: x.sole()}
+	return attempt.Policy{Repeatable: x.route.Repeatable, Streamed: x.stream != nil, MaxAttempts: x.route.MaxAttempts, SingleTarget: x.singleTarget()}
 }
 
 // progress returns the request's progress so far.
--- a/node/fingerprint.go
+++ b/node/fingerprint.go
@@ -8,10 +8,10 @@
 	"github.com/tinladder/tinladder/quarantine"
 )
 
-// fingerprintsOnce are a request's fingerprints, made when they are first asked for: attempts that run beside each other may ask.
-type fingerprintsOnce struct {
-	once sync.Once
-	made quarantine.Fingerprints
+// lazyFingerprints computes a request's fingerprints on first use, which concurrent attempts may make.
+type lazyFingerprints struct {
+	once  sync.Once
+	value quarantine.Fingerprints
 }
 
 // fingerprints returns the request's fingerprints. Its body must have been read.
@@ -21,18 +21,18 @@
 		if x.stream != nil {
 			body = x.head
 		}
-		x.fingerprinted.made = quarantine.FingerprintsOf(&quarantine.Request{
-			Caller: callerOf(x.r), Workspace: x.owner, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
-			Host: x.route.Host, // not as it was sent: where the host is a node's own, the next node has another one
+		x.fingerprinted.value = quarantine.FingerprintsOf(&quarantine.Request{
+			Caller: callerAddress(x.r), Workspace: x.owner, Method: x.r.Method, Target: x.r.RequestURI, Body: body, Length: x.r.ContentLength,
+			Host: x.route.Host, // not the request's: under a node's own host name it differs from node to node
 		})
 	})
-	return &x.fingerprinted.made
+	return &x.fingerprinted.value
 }
 
-// callerOf returns the address of whoever sent the request to the fleet.
-func callerOf(r *http.Request) string {
+// callerAddress returns the address of the client that sent the request to the fleet.
+func callerAddress(r *http.Request) string {
 	if caller := r.Header.Get(HeaderCaller); caller != "" {
-		return caller // another node passed it on
+		return caller // another node forwarded the request
 	}
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/node/front.go
+++ b/node/front.go
@@ -86,7 +86,7 @@
 	}
 	x := newExchange(n, w, r, route, n.platform.Protocol.Headers)
 	x.stripKey = t.Access != nil
-	x.allowedHalls = n.hallsFor(route, workspace)
+	x.allowedHalls = n.allowedHalls(route, workspace)
 	if problem := x.checkLeaving(NotRun); problem != nil || workspace == nil {
 		return x, problem
 	}
--- a/node/idle.go
+++ b/node/idle.go
@@ -8,18 +8,18 @@
 	"github.com/tinladder/tinladder/clock"
 )
 
-// idleEvery is the pause between two looks at targets without work, for each service.
-const idleEvery = 1 * clock.Second
+// idleLogInterval is the interval between two searches for targets without work, per service.
+const idleLogInterval = 1 * clock.Second
 
-// tellIdle tells of targets that had no work of late while their service is in deep trouble: the platform holds it to
-// a floor then, and the line says what kept this node from each of them.
-func (s *services) tellIdle() {
+// logIdleTargets logs targets without recent work while more requests of their service fail than expected. The platform then
+// requires a minimum of work on each target; the line shows what kept this node from them.
+func (s *services) logIdleTargets() {
 	now := s.node.clock.Now()
 	for _, svc := range s.all() {
-		if now-svc.idleAt < idleEvery {
+		if now-svc.idleCheckedAt < idleLogInterval {
 			continue
 		}
-		svc.idleAt = now
+		svc.idleCheckedAt = now
 		idle, _ := svc.pool.IdleTargets()
 		if len(idle) == 0 {
 			continue
--- a/node/limiter.go
+++ b/node/limiter.go
@@ -6,47 +6,46 @@
 	"github.com/tinladder/tinladder/ident"
 )
 
-// A limiter shares one node's concurrency among workspaces. It is safe for concurrent
-// use.
+// A limiter divides one node's concurrency among workspaces. It is safe for concurrent use.
 type limiter struct {
 	total int
 
-	mu   sync.Mutex
-	used map[ident.Workspace]int
-	sum  int
+	mu          sync.Mutex
+	byWorkspace map[ident.Workspace]int
+	sum         int
 }
 
-// newLimiter returns a limiter of total requests at a time.
+// newLimiter returns a limiter that admits total requests at a time.
 func newLimiter(total int) *limiter {
-	return &limiter{total: total, used: map[ident.Workspace]int{}}
+	return &limiter{total: total, byWorkspace: map[ident.Workspace]int{}}
 }
 
-// enter counts a request in, unless the workspace is over its own limit, or has taken more than
-// is still free: one workspace alone gets half, and later ones always find some.
-func (l *limiter) enter(w ident.Workspace, limit int) bool {
+// acquire admits a request unless the workspace is at its own limit or uses as much as is still free. A single workspace thus
+// gets at most half, and later ones always find some capacity.
+func (l *limiter) acquire(w ident.Workspace, limit int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.used[w]
+	n := l.byWorkspace[w]
 	if n >= limit || n >= l.total-l.sum {
 		return false
 	}
-	l.used[w]++
+	l.byWorkspace[w]++
 	l.sum++
 	return true
 }
 
-// leave counts a request out.
-func (l *limiter) leave(w ident.Workspace) {
+// release ends a request that acquire admitted.
+func (l *limiter) release(w ident.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sum--
-	l.used[w]--
-	if l.used[w] == 0 {
-		delete(l.used, w)
+	l.byWorkspace[w]--
+	if l.byWorkspace[w] == 0 {
+		delete(l.byWorkspace, w)
 	}
 }
 
-// inUse returns how many requests are counted in.
+// inUse returns the number of admitted requests.
 func (l *limiter) inUse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/node.go
+++ b/node/node.go
@@ -152,7 +152,7 @@
 	n.compares = newCompares(n.clock, s.Capacity.Cores, s.Capacity.LinkMbps)
 	n.packs = newPacks(n)
 	n.events = newEventLog(n.self, n.platform.Objects, n.clock)
-	n.events.wanted = s.Node.Operators != ""
+	n.events.enabled = s.Node.Operators != ""
 	n.leaving = newLeaving(n)
 	n.memberLog = newMemberLog(n)
 	n.traffic = newTraffic(n)
@@ -268,7 +268,7 @@
 		startTask(ctx, n.watchSettings),
 		startPeriodic(ctx, tickInterval, n.tick),
 		startPeriodic(ctx, purgeInterval, func(context.Context) { n.conns.CloseExpired() }),
-		startTask(ctx, n.suspects.write),
+		startTask(ctx, n.suspects.writeDirty),
 	}
 	for _, k := range n.watchedKinds() {
 		tasks = append(tasks, startTask(ctx, func(ctx context.Context) { n.duty.watch(ctx, k) }))
@@ -306,7 +306,7 @@
 	n.memberLog.tick()
 	n.traffic.tick()
 	n.suspects.tick()
-	n.events.setNodes(len(n.members.Live()) + 1)
+	n.events.setNodeCount(len(n.members.Live()) + 1)
 }
 
 func (n *Node) close() {
--- a/node/peers.go
+++ b/node/peers.go
@@ -116,7 +116,7 @@
 	n.members.Merge(req.Msg.GetMembers())
 	res := &tlv1.SyncResponse{
 		Kinds: n.duty.kindSums(), StoreNow: int64(n.duty.proof.Latest(n.clock.Now())),
-		Known: uint32(n.quotas.known.observe(len(n.members.Live())+1, n.clock.Now())),
+		Known: uint32(n.quotas.peakLive.observe(len(n.members.Live())+1, n.clock.Now())),
 	}
 	for _, theirs := range req.Msg.GetKinds() {
 		switch k := store.Kind(theirs.GetKind()); {
@@ -339,7 +339,7 @@
 	ctx, guard := stall.Watch(context.Background(), syncLimits)
 	defer guard.Close()
 	begun := n.clock.Now()
-	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !full, Pulls: true, Packs: true, Services: n.services.needed()}
+	req := &tlv1.SyncRequest{Kinds: n.duty.kindSums(), RecordsOnly: !full, Pulls: true, Packs: true, Services: n.services.loadedServices()}
 	for _, s := range req.Kinds {
 		if k := store.Kind(s.GetKind()); k != store.State {
 			s.Sums = n.records.sets[k].BucketSums()
@@ -361,7 +361,7 @@
 		return false
 	}
 	n.duty.proof.ObserveLatest(begun, clock.Millis(res.Msg.GetStoreNow()))
-	n.quotas.known.observe(int(res.Msg.GetKnown()), n.clock.Now())
+	n.quotas.peakLive.observe(int(res.Msg.GetKnown()), n.clock.Now())
 	records := p.mergeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
 		n.records.hear(r, address)
@@ -392,7 +392,7 @@
 	}
 	for _, part := range parts {
 		for _, r := range part.GetReports() {
-			n.services.hear(r)
+			n.services.handleReport(r)
 		}
 	}
 	return records
--- a/node/race.go
+++ b/node/race.go
@@ -88,7 +88,7 @@
 // that have failed.
 func (x *exchange) hedge() *pool.Lease {
 	b := x.service.pool.RetryBudget()
-	if b.Remaining() < hedgeReserve || x.sole() { // similar requests may have crashed targets since this one began
+	if b.Remaining() < hedgeReserve || x.singleTarget() { // similar requests may have crashed targets since this one began
 		return nil
 	}
 	a := x.poolRequest()
