--- a/node/leave.go
+++ b/node/leave.go
@@ -13,24 +13,25 @@
 	"github.com/tinladder/tinladder/leave"
 )
 
-// leaveCheckInterval is how often a leaving node looks how far it is.
+// leaveCheckInterval is how often a leaving node checks whether the next step is due.
 const leaveCheckInterval clock.Millis = 20
 
-// errNodeStopping ends attempts that are still at work as the node ends.
+// errNodeStopping is the cancellation cause of requests still in flight when the node stops.
 var errNodeStopping = errors.New("this node ends")
 
-// leaving takes the node out of the fleet without cutting a request: it says so, serves on those who still come, shuts its
-// doors, stays for callers that keep their connections, and ends once all are gone.
+// leaving takes the node out of the fleet without cutting off a request: it announces that it leaves, serves requests that
+// still arrive, stops accepting connections, waits for callers with open connections, and ends once all are closed.
 type leaving struct {
 	node *Node
 	// requested is closed when an operator tells the node to leave.
 	requested chan struct{}
 	once      sync.Once
 	begun     atomic.Bool
-	// startedAt is when it began to leave, and grace how long it had then: settings that come later are not the platform's.
+	// startedAt is when leaving began, and grace the grace period at that time. Later settings do not change it, since the
+	// platform counts from its signal by the grace period in force then.
 	startedAt, grace atomic.Int64
 	inFlight         atomic.Int64
-	// pendingCtx ends when what is still at work is answered as it stands.
+	// pendingCtx is canceled when requests still in flight must be answered at once.
 	pendingCtx    context.Context
 	cancelPending context.CancelFunc
 }
@@ -41,7 +42,7 @@
 	return l
 }
 
-// request makes Run leave.
+// request makes Run start leaving. Repeated calls have no effect.
 func (l *leaving) request() {
 	l.once.Do(func() { close(l.requested) })
 }
@@ -50,13 +51,13 @@
 	return l.begun.Load()
 }
 
-// pendingCanceled says whether the node ends what is still at work.
+// pendingCanceled reports whether requests still in flight have been canceled.
 func (l *leaving) pendingCanceled() bool {
 	return l.pendingCtx.Err() != nil
 }
 
-// tooLate says whether a request that may last so long comes so late that the node could end before it does. It would be
-// cut, and a run-once one be lost: it is refused, and has not run here.
+// tooLate reports whether the node could stop before a request with this time limit completes. Such a request would be cut
+// off, and a run-once request lost, so it is refused before it runs.
 func (l *leaving) tooLate(limit clock.Millis) bool {
 	return l.started() && !l.plan().Accepts(l.elapsed(), limit)
 }
@@ -65,25 +66,25 @@
 	return leave.Plan{Grace: clock.Millis(l.grace.Load())}
 }
 
-// elapsed is how long ago the node was told to leave.
+// elapsed returns the time since leaving began.
 func (l *leaving) elapsed() clock.Millis {
 	return l.node.clock.Now() - clock.Millis(l.startedAt.Load())
 }
 
-// enter and exit count the requests that are worked on. Nothing ends by this count: a request that has been read in part,
-// or whose answer has not been written, is not in it.
+// enter and exit count the requests in flight. The count is for logs only and must not decide when the node stops: it leaves
+// out requests that have been read in part and those whose response has not been written.
 func (l *leaving) enter() { l.inFlight.Add(1) }
 func (l *leaving) exit()  { l.inFlight.Add(-1) }
 
-// setConnectionClose has the caller leave its connection after the answer that is about to be written, also where the request came
-// before the node was told to leave.
+// setConnectionClose makes the caller close its connection after the response about to be written, including responses to
+// requests that arrived before leaving began.
 func (l *leaving) setConnectionClose(w http.ResponseWriter) {
 	if l.started() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// pendingContext returns a context that ends with the given one, and as the node ends what is at work.
+// pendingContext returns a context derived from ctx that is also canceled when the node cancels requests in flight.
 func (l *leaving) pendingContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(l.pendingCtx, func() { cancel(errNodeStopping) })
@@ -93,8 +94,8 @@
 	}
 }
 
-// cancelableHandler ends calls that are still at work as the node ends, so that they are answered: an operator's change may have been
-// made, and one who reads an end of file does not know that it is to be asked after.
+// cancelableHandler wraps h so that calls still in flight when the node stops are canceled and answered. An operator's change
+// may have been made by then, and an end of file would not tell the operator that its outcome has to be queried.
 func (l *leaving) cancelableHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, end := l.pendingContext(r.Context())
@@ -103,7 +104,7 @@
 	})
 }
 
-// run leaves, and returns once nothing is open or the grace period is nearly over.
+// run performs the steps of leaving, and returns once no connection is open or the grace period is nearly over.
 func (l *leaving) run() {
 	n := l.node
 	l.startedAt.Store(int64(n.clock.Now()))
@@ -128,19 +129,19 @@
 	n.sendGossip(n.members.AnnounceGone())
 }
 
-// closeIdle ends connections that rest, those too that began to after the last time.
+// closeIdle closes idle connections, including those that became idle since the previous call.
 func (l *leaving) closeIdle() {
 	for _, d := range l.node.doors {
 		d.CloseWhenIdle()
 	}
 }
 
-// remaining is how long the node has until the platform ends it.
+// remaining returns the time left until the platform kills the node, less one check interval.
 func (l *leaving) remaining() time.Duration {
 	return max(l.plan().Grace-l.elapsed()-leaveCheckInterval, 0).Duration()
 }
 
-// enterStep takes one step towards the end.
+// enterStep performs the actions of one step.
 func (l *leaving) enterStep(s leave.Step) {
 	l.logStep(s)
 	switch s {
@@ -153,8 +154,8 @@
 	}
 }
 
-// stopAccepting shuts the doors of those names. The one for other nodes stays for as long as this node is there: nobody else can run
-// a key whose home it is, or tell what became of it.
+// stopAccepting closes the listeners whose names match. The listener for other nodes stays open longest: only this node can
+// run a request whose key has its home here, or report the outcome of one.
 func (l *leaving) stopAccepting(which func(name string) bool) {
 	for _, d := range l.node.doors {
 		if which(d.Name()) {
@@ -163,7 +164,7 @@
 	}
 }
 
-// openConns counts what is open at all doors.
+// openConns counts the open connections of all listeners.
 func (l *leaving) openConns() (o leave.Conns) {
 	for _, d := range l.node.doors {
 		n := d.Open()
@@ -175,7 +176,7 @@
 	return o
 }
 
-// logStep tells how far the end has come, and what is open then at each door.
+// logStep logs the step that begins, with the idle and busy connections of each listener.
 func (l *leaving) logStep(s leave.Step) {
 	n := l.node
 	f := logrus.Fields{"event": "leaving_step", "step": s, "ms": l.elapsed(), "in_flight": l.inFlight.Load()}
