--- a/node/operators.go
+++ b/node/operators.go
@@ -25,27 +25,27 @@
 
 const (
 	bearerPrefix = "Bearer "
-	// defaultHistory is how many changes are shown when no number is asked for.
+	// defaultHistory is the number of changes returned when the request sets no limit.
 	defaultHistory = 50
 )
 
-// errNotFound is told of what is absent, and of what is another workspace's.
+// errNotFound is returned both for a missing document and for one of another workspace
 var errNotFound = errors.New("no such workspace or service")
 
-// An operator is who makes a call: one workspace's, or an administrator.
+// An operator is the authenticated caller: an operator of one workspace, or an administrator.
 type operator struct {
 	workspace ident.Workspace
 	admin     bool
-	// name is who the audit trail says made a change: never the token itself.
+	// name identifies the author of a change in the audit trail. It never contains the token itself.
 	name string
 }
 
-// canAccess says whether the operator may see and change the workspace's services.
+// canAccess reports whether the operator may read and change the workspace's services.
 func (o operator) canAccess(w string) bool {
 	return o.admin || o.workspace == ident.Workspace(w)
 }
 
-// operatorsHandler serves operators, and whoever watches the node.
+// operatorsHandler serves the operator API, metrics and health checks.
 func (n *Node) operatorsHandler() http.Handler {
 	m := mux.NewRouter()
 	path, h := tinladderv1connect.NewOperatorServiceHandler(&operatorServer{node: n})
@@ -56,7 +56,7 @@
 	return m
 }
 
-// serveReadiness says whether callers may be sent here.
+// serveReadiness reports whether the node can take callers' requests; if not, the body holds the reason.
 func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if reason := n.unready(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
@@ -65,15 +65,15 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// Bounds on the changes of one workspace through one node.
+// Rate limit on the changes of one workspace through one node.
 const (
 	changesPerSecond = 1
 	changesBurst     = 20
-	// maxChangeLimiters bounds the workspaces kept count of; forgetting them gives each a new start.
+	// maxChangeLimiters bounds the limiters held in memory. Beyond it all are dropped, and each workspace has its full burst again.
 	maxChangeLimiters = 10_000
 )
 
-// A changeLimiter keeps one workspace's changes from taking the table from the others.
+// A changeLimiter limits the rate of changes by workspace, so that one workspace cannot use up the capacity of the table.
 type changeLimiter struct {
 	mu         sync.Mutex
 	workspaces map[ident.Workspace]*rate.Limiter
@@ -98,14 +98,14 @@
 	changes changeLimiter
 }
 
-// authenticate returns who makes the call.
+// authenticate returns the operator that the bearer token in h belongs to.
 func (s *operatorServer) authenticate(ctx context.Context, h http.Header) (operator, error) {
 	token, found := strings.CutPrefix(h.Get("Authorization"), bearerPrefix)
 	if !found {
 		return operator{}, connect.NewError(connect.CodeUnauthenticated, errors.New("token is missing"))
 	}
 	sum := sha256.Sum256([]byte(token))
-	admin, _ := hex.DecodeString(s.node.settings().Operators.AdminTokenSHA256) // checked with the settings
+	admin, _ := hex.DecodeString(s.node.settings().Operators.AdminTokenSHA256) // validated with the settings
 	if subtle.ConstantTimeCompare(sum[:], admin) == 1 {
 		return operator{admin: true, name: "admin"}, nil
 	}
@@ -124,7 +124,7 @@
 	return operator{workspace: w, name: name}, nil
 }
 
-// document reads a document from the store, or what nodes hold while the store is away.
+// document reads a document from the store, or returns this node's own copy if the read fails.
 func (s *operatorServer) document(ctx context.Context, k ident.Key) (*tlv1.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, documentReadTimeout.Duration())
 	defer cancel()
@@ -138,10 +138,10 @@
 	return nil, connect.NewError(connect.CodeUnavailable, err)
 }
 
-// documentReadTimeout bounds an operator's read of the store.
+// documentReadTimeout bounds the read of one document from the store.
 const documentReadTimeout = 1 * clock.Second
 
-// heldDocument returns the document that this node holds, or nil.
+// heldDocument returns this node's copy of the document, or nil.
 func (n *Node) heldDocument(k ident.Key) *tlv1.Document {
 	r, found := n.records.sets[store.Documents].Get(string(k))
 	d := &tlv1.Document{}
@@ -152,7 +152,7 @@
 	return d
 }
 
-// Apply makes a change.
+// Apply validates and writes a change, or with dry_run only checks it.
 func (s *operatorServer) Apply(ctx context.Context, req *connect.Request[tlv1.ApplyRequest]) (*connect.Response[tlv1.ApplyResponse], error) {
 	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
@@ -183,8 +183,8 @@
 	return connect.NewResponse(&tlv1.ApplyResponse{Change: c}), nil
 }
 
-// authorizeChange checks that the document is of the operator's own workspace. Workspaces themselves
-// are made by administrators; their own operators may change tokens.
+// authorizeChange checks that the document belongs to the operator's own workspace. Administrators create workspaces;
+// the operators of a workspace may change its tokens.
 func authorizeChange(op operator, d *tlv1.Document) error {
 	w := d.GetService().GetWorkspace()
 	if d.GetWorkspace() != nil {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// authorizeConcurrency keeps operators from giving their own workspace a larger share of the nodes.
+// authorizeConcurrency lets only administrators change a workspace's concurrency, so that operators cannot raise their own share.
 func (s *operatorServer) authorizeConcurrency(ctx context.Context, op operator, d *tlv1.Document) error {
 	if op.admin || d.GetWorkspace() == nil {
 		return nil
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// dryRun says what a change would replace.
+// dryRun returns the version that a change would replace, or a StaleError.
 func (s *operatorServer) dryRun(ctx context.Context, d *tlv1.Document) (*connect.Response[tlv1.ApplyResponse], error) {
 	current, err := s.document(ctx, ident.Key(d.GetKey()))
 	if err != nil {
@@ -225,7 +225,7 @@
 	return connect.NewResponse(&tlv1.ApplyResponse{Change: &tlv1.Change{Document: d, Replaced: current.GetVersion()}}), nil
 }
 
-// rpcError gives an error the code that operators' tools go by.
+// rpcError maps an error to the Connect code that operators' tools rely on.
 func rpcError(err error) error {
 	var stale *config.StaleError
 	switch {
@@ -243,7 +243,7 @@
 	return connect.NewError(connect.CodeInternal, err)
 }
 
-// Resolve says what became of a change.
+// Resolve returns the outcome of a change.
 func (s *operatorServer) Resolve(ctx context.Context, req *connect.Request[tlv1.ResolveRequest]) (*connect.Response[tlv1.ResolveResponse], error) {
 	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
@@ -259,7 +259,7 @@
 	return connect.NewResponse(&tlv1.ResolveResponse{Change: c}), nil
 }
 
-// A documentRef message names a document: a hall's, a service's or, without either, the workspace's.
+// A documentRef is a request message that names a document: of a hall, of a service or, with neither set, of the workspace.
 type documentRef interface {
 	GetHall() string
 	GetWorkspace() string
@@ -276,7 +276,7 @@
 	return ident.Service{Workspace: ident.Workspace(m.GetWorkspace()), Name: m.GetService()}.Key()
 }
 
-// authorizeDocument returns an error unless the caller may see the document. Halls are nobody's own.
+// authorizeDocument returns an error unless the caller may read the document. Halls belong to no workspace.
 func (s *operatorServer) authorizeDocument(ctx context.Context, h http.Header, m documentRef) error {
 	if m.GetHall() != "" {
 		return s.authorizeWorkspace(ctx, h, "")
@@ -284,7 +284,7 @@
 	return s.authorizeWorkspace(ctx, h, m.GetWorkspace())
 }
 
-// authorizeWorkspace returns an error unless the caller may see the workspace.
+// authorizeWorkspace returns an error unless the caller may read the workspace.
 func (s *operatorServer) authorizeWorkspace(ctx context.Context, h http.Header, workspace string) error {
 	op, err := s.authenticate(ctx, h)
 	if err != nil {
@@ -296,7 +296,7 @@
 	return nil
 }
 
-// Get returns a document.
+// Get returns a document. Deleted services are not found.
 func (s *operatorServer) Get(ctx context.Context, req *connect.Request[tlv1.GetRequest]) (*connect.Response[tlv1.GetResponse], error) {
 	if err := s.authorizeDocument(ctx, req.Header(), req.Msg); err != nil {
 		return nil, err
@@ -311,7 +311,7 @@
 	return connect.NewResponse(&tlv1.GetResponse{Document: d}), nil
 }
 
-// List returns the documents of a workspace's services.
+// List returns the documents of a workspace's services, without deleted ones.
 func (s *operatorServer) List(ctx context.Context, req *connect.Request[tlv1.ListRequest]) (*connect.Response[tlv1.ListResponse], error) {
 	if err := s.authorizeWorkspace(ctx, req.Header(), req.Msg.GetWorkspace()); err != nil {
 		return nil, err
@@ -329,7 +329,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// History returns the last changes of a document: the audit trail.
+// History returns the audit trail: the last changes of a document.
 func (s *operatorServer) History(ctx context.Context, req *connect.Request[tlv1.HistoryRequest]) (*connect.Response[tlv1.HistoryResponse], error) {
 	if err := s.authorizeDocument(ctx, req.Header(), req.Msg); err != nil {
 		return nil, err
@@ -345,7 +345,7 @@
 	return connect.NewResponse(&tlv1.HistoryResponse{Changes: changes}), nil
 }
 
-// Report returns what nodes did by themselves.
+// Report returns the events of actions that nodes took on their own.
 func (s *operatorServer) Report(ctx context.Context, req *connect.Request[tlv1.ReportRequest]) (*connect.Response[tlv1.ReportResponse], error) {
 	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
@@ -359,7 +359,7 @@
 	return connect.NewResponse(&tlv1.ReportResponse{Events: events, Unsaved: err != nil}), nil
 }
 
-// InForce says which version each live node uses.
+// InForce returns the version of a document that each live node uses.
 func (s *operatorServer) InForce(ctx context.Context, req *connect.Request[tlv1.InForceRequest]) (*connect.Response[tlv1.InForceResponse], error) {
 	if err := s.authorizeDocument(ctx, req.Header(), req.Msg); err != nil {
 		return nil, err
@@ -373,7 +373,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// Status tells administrators of the whole node, and others of their own services on it.
+// Status returns the state of the node. Operators who are not administrators see only the services of their own workspace.
 func (s *operatorServer) Status(ctx context.Context, req *connect.Request[tlv1.StatusRequest]) (*connect.Response[tlv1.StatusResponse], error) {
 	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
@@ -407,7 +407,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// Leave makes the node leave the fleet.
+// Leave makes the node leave the fleet. Only administrators may call it.
 func (s *operatorServer) Leave(ctx context.Context, req *connect.Request[tlv1.LeaveRequest]) (*connect.Response[tlv1.LeaveResponse], error) {
 	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
