--- a/node/busy.go
+++ b/node/busy.go
@@ -40,7 +40,7 @@
 	n := d.node
 	now := n.clock.Now()
 	d.mu.Lock()
-	d.mean += (float64(n.leaving.busy.Load()) - d.mean) / smoothingTicks
+	d.mean += (float64(n.leaving.inFlight.Load()) - d.mean) / smoothingTicks
 	d.peak = max(d.mean, d.peak*peakDecay)
 	due := now-d.summedAt >= demandInterval
 	if due {
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -129,7 +129,7 @@
 
 // checkLeaving returns a problem if the request could outlast this node's shutdown.
 func (x *exchange) checkLeaving(o Outcome) *Problem {
-	if !x.node.leaving.late(x.deadline - x.began) {
+	if !x.node.leaving.tooLate(x.deadline - x.began) {
 		return nil
 	}
 	return leavingProblem(o)
@@ -142,7 +142,7 @@
 // callerLeft reports whether the caller has gone. A node that is shutting down stops reading, which also cancels the
 // request's context, so that case is excluded.
 func (x *exchange) callerLeft() bool {
-	return x.r.Context().Err() != nil && !x.node.leaving.ends()
+	return x.r.Context().Err() != nil && !x.node.leaving.pendingCanceled()
 }
 
 // acquire waits for a target for as long as the caller does: no request is sent after its caller has left, whether
@@ -183,7 +183,7 @@
 
 // within returns a context that ends at the deadline, or when the node shuts down.
 func (x *exchange) within(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, end := x.node.leaving.during(ctx)
+	ctx, end := x.node.leaving.pendingContext(ctx)
 	ctx, cancel := context.WithTimeout(ctx, (x.deadline - x.node.clock.Now()).Duration())
 	return ctx, func() {
 		cancel()
@@ -247,7 +247,7 @@
 		return pool.Abandoned // not the target's fault
 	case err != nil && errors.Is(context.Cause(ctx), errLostRace):
 		return x.stats.lostRaceOutcome(took)
-	case err != nil && errors.Is(context.Cause(ctx), errEnding):
+	case err != nil && errors.Is(context.Cause(ctx), errNodeStopping):
 		return pool.Abandoned
 	case timeout && took < l.ServiceTime()*timeoutBlameFactor:
 		return pool.Abandoned // too little time was left for the target to respond
@@ -280,7 +280,7 @@
 func (x *exchange) progress() attempt.Progress {
 	return attempt.Progress{
 		Ran: x.ran, Tried: len(x.tried), TimeLeft: x.deadline - x.node.clock.Now(), ServiceTime: x.service.pool.ServiceTime(),
-		CallerGone: x.callerLeft(), Stopping: x.node.leaving.ends(),
+		CallerGone: x.callerLeft(), Stopping: x.node.leaving.pendingCanceled(),
 	}
 }
 
--- a/node/front.go
+++ b/node/front.go
@@ -177,7 +177,7 @@
 		// net/http reads a short body to its end before it sends a response. Without a deadline it would wait for a body
 		// that never comes, or beyond the node's shutdown.
 		rest := callerGrace
-		if n.leaving.ends() {
+		if n.leaving.pendingCanceled() {
 			rest = 0
 		}
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rest.Duration()))
--- a/node/lift.go
+++ b/node/lift.go
@@ -14,14 +14,14 @@
 
 // Quarantine lists the requests that crashed targets of the services that the operator manages.
 func (s *operatorServer) Quarantine(ctx context.Context, req *connect.Request[tlv1.QuarantineRequest]) (*connect.Response[tlv1.QuarantineResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
 	res := &tlv1.QuarantineResponse{}
 	now := s.node.clock.Now()
 	for _, c := range s.node.suspects.list.All() {
-		if !op.may(serviceWorkspace(c.Service)) {
+		if !op.canAccess(serviceWorkspace(c.Service)) {
 			continue
 		}
 		_, since, _ := s.node.suspects.list.Get(c.Fingerprint)
@@ -39,7 +39,7 @@
 
 // Lift releases a request under all of its fingerprints. What could not be stored is written once the store is available.
 func (s *operatorServer) Lift(ctx context.Context, req *connect.Request[tlv1.LiftRequest]) (*connect.Response[tlv1.LiftResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 	}
 	n := s.node
 	c, _, found := n.suspects.list.Get(p)
-	if !found || !op.may(serviceWorkspace(c.Service)) {
+	if !found || !op.canAccess(serviceWorkspace(c.Service)) {
 		return nil, connect.NewError(connect.CodeNotFound, errNotHeld)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
--- a/node/node.go
+++ b/node/node.go
@@ -190,7 +190,7 @@
 		{peersDoor, s.Peers, &http.Server{Handler: n.peersHandler()}, nil},
 		{"readiness", s.Readiness, &http.Server{Handler: n.readinessHandler()}, nil},
 		{"directory", s.Directory, &http.Server{Handler: n.directoryHandler()}, nil},
-		{"operators", s.Operators, &http.Server{Handler: n.operatorsDoor()}, nil},
+		{"operators", s.Operators, &http.Server{Handler: n.operatorsHandler()}, nil},
 		{"metrics", s.Metrics, &http.Server{Handler: http.HandlerFunc(n.metrics.write)}, nil},
 	} {
 		if d.address == "" {
@@ -234,13 +234,13 @@
 	n.logStart()
 	select {
 	case <-ctx.Done():
-	case <-n.leaving.asked:
+	case <-n.leaving.requested:
 	case err = <-failed:
 		n.log.WithFields(logrus.Fields{"event": "door_failed", "error": err}).Error()
 	}
 	n.leaving.run() // also after a listener failed: requests at the other listeners are not cut
 	n.close()
-	flush, stop := context.WithTimeout(background, n.leaving.left())
+	flush, stop := context.WithTimeout(background, n.leaving.remaining())
 	n.events.flush(flush)
 	stop()
 	cancel()
--- a/node/operators.go
+++ b/node/operators.go
@@ -24,40 +24,40 @@
 )
 
 const (
-	bearer = "Bearer "
-	// defaultHistory is how many changes are shown when no number is asked for.
+	bearerPrefix = "Bearer "
+	// defaultHistory is the number of changes returned when the request sets no limit.
 	defaultHistory = 50
 )
 
-// errAbsent is told of what is absent, and of what is another workspace's.
-var errAbsent = errors.New("no such workspace or service")
+// errNotFound is returned both for a missing document and for one of another workspace
+var errNotFound = errors.New("no such workspace or service")
 
-// An operator is who makes a call: one workspace's, or an administrator.
+// An operator is the authenticated caller: an operator of one workspace, or an administrator.
 type operator struct {
 	workspace ident.Workspace
 	admin     bool
-	// name is who the audit trail says made a change: never the token itself.
+	// name identifies the author of a change in the audit trail. It never contains the token itself.
 	name string
 }
 
-// may says whether the operator may see and change the workspace's services.
-func (o operator) may(w string) bool {
+// canAccess reports whether the operator may read and change the workspace's services.
+func (o operator) canAccess(w string) bool {
 	return o.admin || o.workspace == ident.Workspace(w)
 }
 
-// operatorsDoor serves operators, and whoever watches the node.
-func (n *Node) operatorsDoor() http.Handler {
+// operatorsHandler serves the operator API, metrics and health checks.
+func (n *Node) operatorsHandler() http.Handler {
 	m := mux.NewRouter()
 	path, h := tinladderv1connect.NewOperatorServiceHandler(&operatorServer{node: n})
-	m.PathPrefix(path).Handler(n.leaving.within(h))
+	m.PathPrefix(path).Handler(n.leaving.cancelableHandler(h))
 	m.Path("/metrics").HandlerFunc(n.metrics.write)
 	m.Path("/healthz").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
-	m.Path("/readyz").HandlerFunc(n.ready)
+	m.Path("/readyz").HandlerFunc(n.serveReadiness)
 	return m
 }
 
-// ready says whether callers may be sent here.
-func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness reports whether the node can take callers' requests; if not, the body holds the reason.
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if reason := n.notReadyReason(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
@@ -65,15 +65,15 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// Bounds on the changes of one workspace through one node.
+// Rate limit on the changes of one workspace through one node.
 const (
 	changesPerSecond = 1
-	changesAtOnce    = 20
-	// maxChangers bounds the workspaces kept count of; forgetting them gives each a new start.
-	maxChangers = 10_000
+	changesBurst     = 20
+	// maxChangeLimiters bounds the limiters held in memory. Beyond it all are dropped, and each workspace has its full burst again.
+	maxChangeLimiters = 10_000
 )
 
-// A changeLimiter keeps one workspace's changes from taking the table from the others.
+// A changeLimiter limits the rate of changes by workspace, so that one workspace cannot use up the capacity of the table.
 type changeLimiter struct {
 	mu         sync.Mutex
 	workspaces map[ident.Workspace]*rate.Limiter
@@ -82,12 +82,12 @@
 func (l *changeLimiter) allow(w ident.Workspace) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.workspaces == nil || len(l.workspaces) >= maxChangers {
+	if l.workspaces == nil || len(l.workspaces) >= maxChangeLimiters {
 		l.workspaces = map[ident.Workspace]*rate.Limiter{}
 	}
 	x := l.workspaces[w]
 	if x == nil {
-		x = rate.NewLimiter(changesPerSecond, changesAtOnce)
+		x = rate.NewLimiter(changesPerSecond, changesBurst)
 		l.workspaces[w] = x
 	}
 	return x.Allow()
@@ -98,14 +98,14 @@
 	changes changeLimiter
 }
 
-// operator returns who makes the call.
-func (s *operatorServer) operator(ctx context.Context, h http.Header) (operator, error) {
-	token, found := strings.CutPrefix(h.Get("Authorization"), bearer)
+// authenticate returns the operator that the bearer token in h belongs to.
+func (s *operatorServer) authenticate(ctx context.Context, h http.Header) (operator, error) {
+	token, found := strings.CutPrefix(h.Get("Authorization"), bearerPrefix)
 	if !found {
 		return operator{}, connect.NewError(connect.CodeUnauthenticated, errors.New("token is missing"))
 	}
 	sum := sha256.Sum256([]byte(token))
-	admin, _ := hex.DecodeString(s.node.settings().Operators.AdminTokenSHA256) // checked with the settings
+	admin, _ := hex.DecodeString(s.node.settings().Operators.AdminTokenSHA256) // validated with the settings
 	if subtle.ConstantTimeCompare(sum[:], admin) == 1 {
 		return operator{admin: true, name: "admin"}, nil
 	}
@@ -124,25 +124,25 @@
 	return operator{workspace: w, name: name}, nil
 }
 
-// document reads a document from the store, or what nodes hold while the store is away.
+// document reads a document from the store, or returns this node's own copy if the read fails.
 func (s *operatorServer) document(ctx context.Context, k ident.Key) (*tlv1.Document, error) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, documentReadTimeout.Duration())
 	defer cancel()
 	d, err := s.node.configs.Document(ctx, k)
 	if err == nil {
 		return d, nil
 	}
-	if held := s.node.held(k); held != nil {
+	if held := s.node.heldDocument(k); held != nil {
 		return held, nil
 	}
 	return nil, connect.NewError(connect.CodeUnavailable, err)
 }
 
-// readTimeout bounds an operator's read of the store.
-const readTimeout = 1 * clock.Second
+// documentReadTimeout bounds the read of one document from the store.
+const documentReadTimeout = 1 * clock.Second
 
-// held returns the document that this node holds, or nil.
-func (n *Node) held(k ident.Key) *tlv1.Document {
+// heldDocument returns this node's copy of the document, or nil.
+func (n *Node) heldDocument(k ident.Key) *tlv1.Document {
 	r, found := n.records.sets[store.Documents].Get(string(k))
 	d := &tlv1.Document{}
 	if !found || proto.Unmarshal(r.Value, d) != nil {
@@ -152,20 +152,20 @@
 	return d
 }
 
-// Apply makes a change.
+// Apply validates and writes a change, or with dry_run only checks it.
 func (s *operatorServer) Apply(ctx context.Context, req *connect.Request[tlv1.ApplyRequest]) (*connect.Response[tlv1.ApplyResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
 	doc := req.Msg.GetDocument()
-	if err := mayChange(op, doc); err != nil {
+	if err := authorizeChange(op, doc); err != nil {
 		return nil, err
 	}
 	if err := config.Check(doc); err != nil {
 		return nil, rpcError(err)
 	}
-	if err := s.mayShare(ctx, op, doc); err != nil {
+	if err := s.authorizeConcurrency(ctx, op, doc); err != nil {
 		return nil, err
 	}
 	if req.Msg.GetDryRun() {
@@ -183,21 +183,21 @@
 	return connect.NewResponse(&tlv1.ApplyResponse{Change: c}), nil
 }
 
-// mayChange checks that the document is of the operator's own workspace. Workspaces themselves
-// are made by administrators; their own operators may change tokens.
-func mayChange(op operator, d *tlv1.Document) error {
+// authorizeChange checks that the document belongs to the operator's own workspace. Administrators create workspaces;
+// the operators of a workspace may change its tokens.
+func authorizeChange(op operator, d *tlv1.Document) error {
 	w := d.GetService().GetWorkspace()
 	if d.GetWorkspace() != nil {
 		w = d.GetWorkspace().GetName()
 	}
-	if !op.may(w) {
-		return connect.NewError(connect.CodeNotFound, errAbsent)
+	if !op.canAccess(w) {
+		return connect.NewError(connect.CodeNotFound, errNotFound)
 	}
 	return nil
 }
 
-// mayShare keeps operators from giving their own workspace a larger share of the nodes.
-func (s *operatorServer) mayShare(ctx context.Context, op operator, d *tlv1.Document) error {
+// authorizeConcurrency lets only administrators change a workspace's concurrency, so that operators cannot raise their own share.
+func (s *operatorServer) authorizeConcurrency(ctx context.Context, op operator, d *tlv1.Document) error {
 	if op.admin || d.GetWorkspace() == nil {
 		return nil
 	}
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// dryRun says what a change would replace.
+// dryRun returns the version that a change would replace, or a StaleError.
 func (s *operatorServer) dryRun(ctx context.Context, d *tlv1.Document) (*connect.Response[tlv1.ApplyResponse], error) {
 	current, err := s.document(ctx, ident.Key(d.GetKey()))
 	if err != nil {
@@ -225,7 +225,7 @@
 	return connect.NewResponse(&tlv1.ApplyResponse{Change: &tlv1.Change{Document: d, Replaced: current.GetVersion()}}), nil
 }
 
-// rpcError gives an error the code that operators' tools go by.
+// rpcError maps an error to the Connect code that operators' tools rely on.
 func rpcError(err error) error {
 	var stale *config.StaleError
 	switch {
@@ -243,9 +243,9 @@
 	return connect.NewError(connect.CodeInternal, err)
 }
 
-// Resolve says what became of a change.
+// Resolve returns the outcome of a change.
 func (s *operatorServer) Resolve(ctx context.Context, req *connect.Request[tlv1.ResolveRequest]) (*connect.Response[tlv1.ResolveResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -253,20 +253,20 @@
 	if err != nil && !errors.Is(err, config.ErrVoided) {
 		return nil, rpcError(err)
 	}
-	if !c.GetVoided() && mayChange(op, c.GetDocument()) != nil {
-		return nil, connect.NewError(connect.CodeNotFound, errAbsent)
+	if !c.GetVoided() && authorizeChange(op, c.GetDocument()) != nil {
+		return nil, connect.NewError(connect.CodeNotFound, errNotFound)
 	}
 	return connect.NewResponse(&tlv1.ResolveResponse{Change: c}), nil
 }
 
-// A named message names a document: a hall's, a service's or, without either, the workspace's.
-type named interface {
+// A documentRef is a request message that names a document: of a hall, of a service or, with neither set, of the workspace.
+type documentRef interface {
 	GetHall() string
 	GetWorkspace() string
 	GetService() string
 }
 
-func keyOf(m named) ident.Key {
+func documentKey(m documentRef) ident.Key {
 	switch {
 	case m.GetHall() != "":
 		return ident.HallKey(ident.Hall(m.GetHall()))
@@ -276,44 +276,44 @@
 	return ident.Service{Workspace: ident.Workspace(m.GetWorkspace()), Name: m.GetService()}.Key()
 }
 
-// authorizeNamed returns an error unless the caller may see the document. Halls are nobody's own.
-func (s *operatorServer) authorizeNamed(ctx context.Context, h http.Header, m named) error {
+// authorizeDocument returns an error unless the caller may read the document. Halls belong to no workspace.
+func (s *operatorServer) authorizeDocument(ctx context.Context, h http.Header, m documentRef) error {
 	if m.GetHall() != "" {
-		return s.authorize(ctx, h, "")
+		return s.authorizeWorkspace(ctx, h, "")
 	}
-	return s.authorize(ctx, h, m.GetWorkspace())
+	return s.authorizeWorkspace(ctx, h, m.GetWorkspace())
 }
 
-// authorize returns an error unless the caller may see the workspace.
-func (s *operatorServer) authorize(ctx context.Context, h http.Header, workspace string) error {
-	op, err := s.operator(ctx, h)
+// authorizeWorkspace returns an error unless the caller may read the workspace.
+func (s *operatorServer) authorizeWorkspace(ctx context.Context, h http.Header, workspace string) error {
+	op, err := s.authenticate(ctx, h)
 	if err != nil {
 		return err
 	}
-	if !op.may(workspace) {
-		return connect.NewError(connect.CodeNotFound, errAbsent)
+	if !op.canAccess(workspace) {
+		return connect.NewError(connect.CodeNotFound, errNotFound)
 	}
 	return nil
 }
 
-// Get returns a document.
+// Get returns a document. Deleted services are not found.
 func (s *operatorServer) Get(ctx context.Context, req *connect.Request[tlv1.GetRequest]) (*connect.Response[tlv1.GetResponse], error) {
-	if err := s.authorizeNamed(ctx, req.Header(), req.Msg); err != nil {
+	if err := s.authorizeDocument(ctx, req.Header(), req.Msg); err != nil {
 		return nil, err
 	}
-	d, err := s.document(ctx, keyOf(req.Msg))
+	d, err := s.document(ctx, documentKey(req.Msg))
 	if err != nil {
 		return nil, err
 	}
 	if d.GetVersion() == 0 || d.GetService().GetDeleted() {
-		return nil, connect.NewError(connect.CodeNotFound, errAbsent)
+		return nil, connect.NewError(connect.CodeNotFound, errNotFound)
 	}
 	return connect.NewResponse(&tlv1.GetResponse{Document: d}), nil
 }
 
-// List returns the documents of a workspace's services.
+// List returns the documents of a workspace's services, without deleted ones.
 func (s *operatorServer) List(ctx context.Context, req *connect.Request[tlv1.ListRequest]) (*connect.Response[tlv1.ListResponse], error) {
-	if err := s.authorize(ctx, req.Header(), req.Msg.GetWorkspace()); err != nil {
+	if err := s.authorizeWorkspace(ctx, req.Header(), req.Msg.GetWorkspace()); err != nil {
 		return nil, err
 	}
 	docs, err := s.node.configs.Services(ctx, ident.Workspace(req.Msg.GetWorkspace()))
@@ -329,53 +329,53 @@
 	return connect.NewResponse(res), nil
 }
 
-// History returns the last changes of a document: the audit trail.
+// History returns the audit trail: the last changes of a document.
 func (s *operatorServer) History(ctx context.Context, req *connect.Request[tlv1.HistoryRequest]) (*connect.Response[tlv1.HistoryResponse], error) {
-	if err := s.authorizeNamed(ctx, req.Header(), req.Msg); err != nil {
+	if err := s.authorizeDocument(ctx, req.Header(), req.Msg); err != nil {
 		return nil, err
 	}
 	limit := int(req.Msg.GetLimit())
 	if limit == 0 {
 		limit = defaultHistory
 	}
-	changes, err := s.node.configs.History(ctx, keyOf(req.Msg), limit)
+	changes, err := s.node.configs.History(ctx, documentKey(req.Msg), limit)
 	if err != nil {
 		return nil, rpcError(err)
 	}
 	return connect.NewResponse(&tlv1.HistoryResponse{Changes: changes}), nil
 }
 
-// Report returns what nodes did by themselves.
+// Report returns the events of actions that nodes took on their own.
 func (s *operatorServer) Report(ctx context.Context, req *connect.Request[tlv1.ReportRequest]) (*connect.Response[tlv1.ReportResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
 	w := ident.Workspace(req.Msg.GetWorkspace())
-	if !op.may(string(w)) {
-		return nil, connect.NewError(connect.CodeNotFound, errAbsent)
+	if !op.canAccess(string(w)) {
+		return nil, connect.NewError(connect.CodeNotFound, errNotFound)
 	}
 	events, err := s.node.events.since(ctx, w, clock.Millis(req.Msg.GetSinceMs()))
 	return connect.NewResponse(&tlv1.ReportResponse{Events: events, Unsaved: err != nil}), nil
 }
 
-// InForce says which version each live node uses.
+// InForce returns the version of a document that each live node uses.
 func (s *operatorServer) InForce(ctx context.Context, req *connect.Request[tlv1.InForceRequest]) (*connect.Response[tlv1.InForceResponse], error) {
-	if err := s.authorizeNamed(ctx, req.Header(), req.Msg); err != nil {
+	if err := s.authorizeDocument(ctx, req.Header(), req.Msg); err != nil {
 		return nil, err
 	}
-	k := keyOf(req.Msg)
+	k := documentKey(req.Msg)
 	res := &tlv1.InForceResponse{}
-	res.Nodes = append(res.Nodes, &tlv1.InForce{Node: string(s.node.self.Node), Version: s.node.held(k).GetVersion(), Reached: true})
+	res.Nodes = append(res.Nodes, &tlv1.InForce{Node: string(s.node.self.Node), Version: s.node.heldDocument(k).GetVersion(), Reached: true})
 	for _, m := range s.node.members.Live() {
 		res.Nodes = append(res.Nodes, s.node.peers.inForceAt(ctx, m, k))
 	}
 	return connect.NewResponse(res), nil
 }
 
-// Status tells administrators of the whole node, and others of their own services on it.
+// Status returns the state of the node. Operators who are not administrators see only the services of their own workspace.
 func (s *operatorServer) Status(ctx context.Context, req *connect.Request[tlv1.StatusRequest]) (*connect.Response[tlv1.StatusResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -394,7 +394,7 @@
 	book := n.records.book.Load()
 	for _, sv := range n.services.all() {
 		svc, err := ident.ParseService(sv.name)
-		if err != nil && !op.admin || err == nil && !op.may(string(svc.Workspace)) {
+		if err != nil && !op.admin || err == nil && !op.canAccess(string(svc.Workspace)) {
 			continue
 		}
 		res.Services = append(res.Services, &tlv1.ServiceStatus{Service: sv.name, Version: book.services[sv.name].GetVersion()})
@@ -407,15 +407,15 @@
 	return connect.NewResponse(res), nil
 }
 
-// Leave makes the node leave the fleet.
+// Leave makes the node leave the fleet. Only administrators may call it.
 func (s *operatorServer) Leave(ctx context.Context, req *connect.Request[tlv1.LeaveRequest]) (*connect.Response[tlv1.LeaveResponse], error) {
-	op, err := s.operator(ctx, req.Header())
+	op, err := s.authenticate(ctx, req.Header())
 	if err != nil {
 		return nil, err
 	}
 	if !op.admin {
 		return nil, connect.NewError(connect.CodePermissionDenied, errors.New("administrators only"))
 	}
-	s.node.leaving.ask()
+	s.node.leaving.request()
 	return connect.NewResponse(&tlv1.LeaveResponse{}), nil
 }
--- a/node/outgoing.go
+++ b/node/outgoing.go
@@ -66,7 +66,7 @@
 // caller still gets a response.
 func (x *exchange) readUpTo(body io.Reader, limit int) ([]byte, error) {
 	cut := make(chan struct{})
-	stop := context.AfterFunc(x.node.leaving.ending, func() {
+	stop := context.AfterFunc(x.node.leaving.pendingCtx, func() {
 		defer close(cut)
 		_ = http.NewResponseController(x.w).SetReadDeadline(time.Now())
 	})
@@ -90,7 +90,7 @@
 	case p.Status != http.StatusRequestTimeout:
 	case o != NotRun:
 		p.Status = http.StatusGatewayTimeout // 408 would imply that the request has not run
-	case x.node.leaving.ends():
+	case x.node.leaving.pendingCanceled():
 		p = leavingProblem(o)
 	}
 	x.w.Header().Set("Connection", "close") // the start of the next request is unknown
