--- a/node/ask.go
+++ b/node/ask.go
@@ -47,10 +47,10 @@
 // ask answers a caller of the fleet's own interface.
 func (n *Node) ask(w http.ResponseWriter, r *http.Request) {
 	token := r.Header.Get(HeaderToken)
-	ws, valid := workspaceOf(token)
-	book := n.records.book.Load()
+	ws, valid := tokenWorkspace(token)
+	book := n.records.documents.Load()
 	space := book.workspaces[ws]
-	name, named := serviceNamed(r.URL.Query().Get("service"), ws)
+	name, named := parseServiceName(r.URL.Query().Get("service"), ws)
 	service := ident.Service{Workspace: ws, Name: name}
 	switch {
 	case n.leaving.started():
--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// stateHeld is another node's word that it holds the version of the state, at an address where nobody answers.
-func stateHeld(version uint64) *tlv1.Parcel {
+// confirmOfState is another node's word that it holds the version of the state, at an address where nobody answers.
+func confirmOfState(version uint64) *tlv1.Parcel {
 	return &tlv1.Parcel{Body: &tlv1.Parcel_Confirm{Confirm: &tlv1.Confirm{
 		Node: "n9", Incarnation: 1, Hall: "h0", PeerAddress: "127.0.0.1:9",
 		Kinds: []*tlv1.KindSum{{Kind: string(store.State), Sum: 1, Newest: version}},
@@ -48,7 +48,7 @@
 	f.ready(3, 1)
 	n := f.nodes[0]
 	is.Equal(f.call(n, http.MethodGet, "/none/", "1", "").status, http.StatusNotFound) // it knows of nothing newer
-	f.send(n, stateHeld(1_000_000))
+	f.send(n, confirmOfState(1_000_000))
 	f.eventually("it says that it does not know", func() bool {
 		r := f.call(n, http.MethodGet, "/none/", "2", "")
 		return r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != ""
--- a/node/book.go
+++ b/node/book.go
@@ -19,9 +19,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A book is the fleet's own documents, ready for use: workspaces, their services and routes. It is
+// A documentIndex is the fleet's own documents, ready for use: workspaces, their services and routes. It is
 // never changed.
-type book struct {
+type documentIndex struct {
 	workspaces map[ident.Workspace]*workspace
 	services   map[string]*tlv1.Document
 	// evacuated are the halls whose targets are to get nothing.
@@ -42,10 +42,10 @@
 	keyOptional bool
 }
 
-// newBook returns the documents' book. Documents that make no sense were refused when they were
+// newDocumentIndex returns the documents' book. Documents that make no sense were refused when they were
 // written, and are left out here.
-func newBook(list []replica.Record) *book {
-	b := &book{workspaces: map[ident.Workspace]*workspace{}, services: map[string]*tlv1.Document{}, evacuated: map[ident.Hall]bool{}}
+func newDocumentIndex(list []replica.Record) *documentIndex {
+	b := &documentIndex{workspaces: map[ident.Workspace]*workspace{}, services: map[string]*tlv1.Document{}, evacuated: map[ident.Hall]bool{}}
 	for _, x := range list {
 		d := &tlv1.Document{}
 		if proto.Unmarshal(x.Value, d) != nil {
@@ -62,7 +62,7 @@
 	return b
 }
 
-func (b *book) workspace(name ident.Workspace) *workspace {
+func (b *documentIndex) workspace(name ident.Workspace) *workspace {
 	w := b.workspaces[name]
 	if w == nil {
 		w = &workspace{}
@@ -71,7 +71,7 @@
 	return w
 }
 
-func (b *book) add(d *tlv1.Document) {
+func (b *documentIndex) add(d *tlv1.Document) {
 	if w := d.GetWorkspace(); w != nil {
 		b.workspace(ident.Workspace(w.GetName())).doc = w
 		return
@@ -92,8 +92,8 @@
 	}
 }
 
-// aimShare is the part of an own route's deadline within which answers are wanted, one in so many.
-const aimShare = 4
+// objectiveDivisor is the part of an own route's deadline within which answers are wanted, one in so many.
+const objectiveDivisor = 4
 
 func newOwnRoute(s ident.Service, i int, r *tlv1.Route) *ownRoute {
 	deadline := clock.Millis(r.GetDeadlineMs())
@@ -104,7 +104,7 @@
 		service: s, methods: r.GetMethods(), keyOptional: r.GetKeyOptional(),
 		Route: &desired.Route{
 			Name: fmt.Sprintf("%s#%d", s, i), Host: strings.ToLower(r.GetHost()), Prefix: r.GetPathPrefix(),
-			Repeatable: r.GetRepeat() == tlv1.Repeat_REPEAT_ALLOWED, Timeout: deadline, Objective: deadline / aimShare,
+			Repeatable: r.GetRepeat() == tlv1.Repeat_REPEAT_ALLOWED, Timeout: deadline, Objective: deadline / objectiveDivisor,
 			MaxAttempts: int(r.GetRetries()) + 1, Backends: []desired.Backend{{Service: s.String(), Weight: 1}},
 		},
 	}
@@ -124,7 +124,7 @@
 
 // route returns the workspace's route for the request, of the named service if there is a name. Twice says that a target
 // may read the path as another route's.
-func (w *workspace) route(r *http.Request, service string) (found *ownRoute, twice bool) {
+func (w *workspace) route(r *http.Request, service string) (found *ownRoute, ambiguous bool) {
 	path := r.URL.EscapedPath()
 	found = w.find(r, path, service)
 	resolved := reading.NormalizePath(r.RequestURI)
@@ -154,8 +154,8 @@
 	return config.DefaultConcurrency
 }
 
-// nodes is how many nodes the service's document asks for; 0 if it has none.
-func (b *book) nodes(service string) int {
+// requestedNodes is how many requestedNodes the service's document asks for; 0 if it has none.
+func (b *documentIndex) requestedNodes(service string) int {
 	if d := b.services[service]; d != nil {
 		return config.Nodes(d.GetService())
 	}
@@ -163,7 +163,7 @@
 }
 
 // targets returns the targets of all own services.
-func (b *book) targets() []target {
+func (b *documentIndex) targets() []target {
 	var list []target
 	for name, d := range b.services {
 		for _, t := range d.GetService().GetTargets() {
@@ -176,8 +176,8 @@
 	return list
 }
 
-// workspaceOf returns the workspace that a token claims. Its hash is still to be checked.
-func workspaceOf(token string) (ident.Workspace, bool) {
+// tokenWorkspace returns the workspace that a token claims. Its hash is still to be checked.
+func tokenWorkspace(token string) (ident.Workspace, bool) {
 	name, _, found := strings.Cut(token, ".")
 	return ident.Workspace(name), found && ident.CheckName(name) == nil
 }
@@ -192,8 +192,8 @@
 	return found == 1
 }
 
-// serviceNamed returns the name of the service that the request names, within the workspace.
-func serviceNamed(s string, w ident.Workspace) (string, bool) {
+// parseServiceName returns the name of the service that the request names, within the workspace.
+func parseServiceName(s string, w ident.Workspace) (string, bool) {
 	if s == "" {
 		return "", true
 	}
--- a/node/carriers.go
+++ b/node/carriers.go
@@ -185,7 +185,7 @@
 func (c *carriers) needs(k carrierKey, halls int) (slots, nodes int) {
 	group := k.group
 	halls = max(halls, 1)
-	if n := c.node.records.book.Load().nodes(string(group)); n > 0 {
+	if n := c.node.records.documents.Load().requestedNodes(string(group)); n > 0 {
 		return 0, (n + halls - 1) / halls
 	}
 	if t := c.node.records.table.Load(); t != nil {
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -151,7 +151,7 @@
 		}
 		set := d.node.records.sets[k]
 		s.Sum, s.Newest = set.State()
-		d.node.packs.hold(k, s.Sum, s.Newest)
+		d.node.packs.addSnapshot(k, s.Sum, s.Newest)
 		list = append(list, s)
 	}
 	return list
@@ -232,17 +232,17 @@
 		if !slices.Contains(d.node.kinds(), k) {
 			continue
 		}
-		d.node.lag.heard(k, s.GetNewest(), address)
+		d.node.lag.observe(k, s.GetNewest(), address)
 		if set := d.node.records.sets[k]; set.Sum() != s.GetSum() {
 			if k == store.State {
-				d.node.pulls.want(s.GetNewest(), address)
+				d.node.puller.fetch(s.GetNewest(), address)
 			} else if (!far || s.GetNewest() >= set.Newest()) && d.lacks(k, s.GetNewest()) {
 				same = false
 			}
 			continue
 		}
 		d.matched(k, s.GetNewest())
-		if k == store.State && d.node.records.readable() {
+		if k == store.State && d.node.records.hasNewestState() {
 			d.proof.Merge(clock.Millis(s.GetProved()), now)
 		}
 		if s.GetAgeMs() == never {
--- a/node/decoded.go
+++ b/node/decoded.go
@@ -11,9 +11,9 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// decoded are the targets of the records. A node looks at those that have changed alone, and makes a list of all of them
+// targetCache are the targets of the records. A node looks at those that have changed alone, and makes a list of all of them
 // only if it holds targets ready.
-type decoded struct {
+type targetCache struct {
 	mu   sync.Mutex
 	byID map[ident.Target]target
 	// slots are how many the targets of each service have.
@@ -22,42 +22,42 @@
 	// changes.
 	list   []target
 	shared bool
-	// touched are the keys of records that came since they were last looked at.
-	touched map[string]bool
-	// services are those whose targets have changed since they were last asked for.
-	services map[string]bool
+	// stale are the keys of records that came since they were last looked at.
+	stale map[string]bool
+	// changedServices are those whose targets have changed since they were last asked for.
+	changedServices map[string]bool
 }
 
-func newDecoded() decoded {
-	return decoded{byID: map[ident.Target]target{}, slots: map[string]int{}, touched: map[string]bool{}, services: map[string]bool{}}
+func newTargetCache() targetCache {
+	return targetCache{byID: map[ident.Target]target{}, slots: map[string]int{}, stale: map[string]bool{}, changedServices: map[string]bool{}}
 }
 
-// touch notes records that came.
-func (d *decoded) touch(news []replica.Record) {
+// markStale notes records that came.
+func (d *targetCache) markStale(changed []replica.Record) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, x := range news {
-		d.touched[x.Key] = true
+	for _, x := range changed {
+		d.stale[x.Key] = true
 	}
 }
 
 // set takes over a target as it is now; nil if it is no more.
-func (d *decoded) set(id ident.Target, t *target) {
+func (d *targetCache) set(id ident.Target, t *target) {
 	if was, held := d.byID[id]; held {
-		d.services[was.service] = true
+		d.changedServices[was.service] = true
 		d.addSlots(was.service, -was.slots)
 		delete(d.byID, id)
 	}
 	if t != nil {
-		d.services[t.service] = true
+		d.changedServices[t.service] = true
 		d.addSlots(t.service, t.slots)
 		d.byID[id] = *t
 	}
-	d.follow(id, t)
+	d.updateList(id, t)
 }
 
-// follow keeps the list up with one target; nil if it is no more.
-func (d *decoded) follow(id ident.Target, t *target) {
+// updateList keeps the list up with one target; nil if it is no more.
+func (d *targetCache) updateList(id ident.Target, t *target) {
 	if d.list == nil {
 		return
 	}
@@ -75,26 +75,26 @@
 	}
 }
 
-func (d *decoded) addSlots(service string, slots int) {
+func (d *targetCache) addSlots(service string, slots int) {
 	d.slots[service] += slots
 	if d.slots[service] == 0 {
 		delete(d.slots, service)
 	}
 }
 
-// followMost is the most records at once that a list is kept up with; beyond it is made anew when it is asked for.
-const followMost = 256
+// maxListUpdates is the most records at once that a list is kept up with; beyond it is made anew when it is asked for.
+const maxListUpdates = 256
 
-// decode looks at the records that came. The caller holds the lock of what is decoded.
-func (r *records) decode() {
-	d := &r.decoded
-	if len(d.touched) > followMost {
+// refreshTargets looks at the records that came. The caller holds the lock of what is decoded.
+func (r *records) refreshTargets() {
+	d := &r.targetCache
+	if len(d.stale) > maxListUpdates {
 		d.list = nil
 	}
-	for key := range d.touched {
+	for key := range d.stale {
 		id := ident.Target(key)
 		x, found := r.sets[store.Targets].Get(key)
-		t := registered(x)
+		t := decodeRegistration(x)
 		was, held := d.byID[id]
 		switch {
 		case !found || t == nil:
@@ -102,22 +102,22 @@
 				d.set(id, nil)
 			}
 		case held:
-			next := r.follow(was, targetOf(x, t))
+			next := r.updateTarget(was, newTarget(x, t))
 			d.set(id, &next)
 		default:
-			next := targetOf(x, t)
+			next := newTarget(x, t)
 			d.set(id, &next)
 		}
 	}
-	clear(d.touched)
+	clear(d.stale)
 }
 
 // targets returns all targets that registered themselves, by their ids. The caller must not change them.
 func (r *records) targets() []target {
-	d := &r.decoded
+	d := &r.targetCache
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r.decode()
+	r.refreshTargets()
 	if d.list == nil {
 		d.list = slices.SortedFunc(maps.Values(d.byID), func(a, b target) int { return cmp.Compare(a.id, b.id) })
 	}
@@ -127,20 +127,20 @@
 
 // targetSlots returns how many slots the targets of each service have, and how many targets there are.
 func (r *records) targetSlots() (slots map[string]int, targets int) {
-	d := &r.decoded
+	d := &r.targetCache
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r.decode()
+	r.refreshTargets()
 	return maps.Clone(d.slots), len(d.byID)
 }
 
-// touchedServices returns the services whose targets have changed since it was last called.
-func (r *records) touchedServices() map[string]bool {
-	d := &r.decoded
+// takeChangedServices returns the services whose targets have changed since it was last called.
+func (r *records) takeChangedServices() map[string]bool {
+	d := &r.targetCache
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r.decode()
-	touched := d.services
-	d.services = map[string]bool{}
-	return touched
+	r.refreshTargets()
+	changed := d.changedServices
+	d.changedServices = map[string]bool{}
+	return changed
 }
--- a/node/decoded_test.go
+++ b/node/decoded_test.go
@@ -26,9 +26,9 @@
 	return newRecords(&Node{clock: clock.NewManual(1000)})
 }
 
-// bring takes in records as takeOver does.
-func (r *records) bring(list ...replica.Record) {
-	r.decoded.touch(r.sets[store.Targets].Put(list))
+// putTargets takes in records as takeOver does.
+func (r *records) putTargets(list ...replica.Record) {
+	r.targetCache.markStale(r.sets[store.Targets].Put(list))
 }
 
 // TestTargetsAreThoseOfTheRecords brings records in any order, few and many at once, and compares the targets with what
@@ -47,11 +47,11 @@
 			case 1:
 				x.Value = []byte("broken")
 			}
-			r.bring(x)
+			r.putTargets(x)
 		}
 		var want []string
 		for _, x := range r.sets[store.Targets].Live() {
-			if registered(x) != nil {
+			if decodeRegistration(x) != nil {
 				want = append(want, fmt.Sprint(x.Key, " ", x.Version, " ", x.Version))
 			}
 		}
@@ -72,13 +72,13 @@
 func BenchmarkTargetChanges(b *testing.B) {
 	r := recordsAlone()
 	for i := range 3000 {
-		r.bring(aTarget(b, i, 1))
+		r.putTargets(aTarget(b, i, 1))
 	}
 	r.targets()
 	version := uint64(1)
 	for b.Loop() {
 		version++
-		r.bring(aTarget(b, 1500, version))
+		r.putTargets(aTarget(b, 1500, version))
 		r.targets()
 	}
 }
--- a/node/duty.go
+++ b/node/duty.go
@@ -293,7 +293,7 @@
 	at = n.clock.Now()
 	d.tellLongRead(k, m, r, at-sent, err)
 	if err == nil && r.Clock > 0 {
-		d.proof.ObserveStore(sent, at, r.Clock, k == store.State && n.records.readable())
+		d.proof.ObserveStore(sent, at, r.Clock, k == store.State && n.records.hasNewestState())
 	}
 	if err != nil {
 		return r.Cursor, at, err
@@ -304,7 +304,7 @@
 	if len(news) == 0 {
 		return r.Cursor, at, nil
 	}
-	d.spread(k, news)
+	d.broadcast(k, news)
 	pause(ctx, settle)
 	return r.Cursor, at, nil
 }
@@ -317,7 +317,7 @@
 // spreadNews spreads records that came with others.
 func (d *duty) spreadNews(k store.Kind, news []replica.Record) {
 	if len(news) > 0 {
-		d.spread(k, news)
+		d.broadcast(k, news)
 	}
 }
 
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -27,7 +27,7 @@
 		}
 		byHall[ident.Hall(x.Key)] = e
 	}
-	for hall, evacuated := range r.book.Load().evacuated {
+	for hall, evacuated := range r.documents.Load().evacuated {
 		e := byHall[hall]
 		e.inForce = e.inForce || evacuated
 		byHall[hall] = e
@@ -88,7 +88,7 @@
 	if at := p.evacuations[t.hall].restoredAt; at > 0 {
 		until = at + svc.WarmupPeriod
 	}
-	until = max(until, t.warmAt)
+	until = max(until, t.warmupUntil)
 	v := p.view
 	v.Owner = turn == 0
 	return until, l.Rate(v)
--- a/node/front.go
+++ b/node/front.go
@@ -68,7 +68,7 @@
 func (n *Node) platformExchange(w http.ResponseWriter, r *http.Request) (*exchange, *Problem) {
 	t := n.records.await(r)
 	if t == nil {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyPause, Detail: n.records.missing()}
+		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyPause, Detail: n.records.noStateReason()}
 	}
 	route, problem := routeFor(t, r)
 	if problem != nil && problem.Status == http.StatusNotFound && n.mayBeBehind(t) {
@@ -101,7 +101,7 @@
 // lacksNewer says whether there is a newer desired state than this one: another node is known to hold one, or it came as
 // the request was looked at.
 func (n *Node) lacksNewer(t *desired.Table) bool {
-	return n.lag.lacks(store.State) || n.records.table.Load() != t
+	return n.lag.isBehind(store.State) || n.records.table.Load() != t
 }
 
 // mayBeBehind says whether a newer desired state than this one may have to be in force here: there is one, or word that
@@ -223,7 +223,7 @@
 	case n.runsOut():
 		return "no word of the store on the keys that hold"
 	case n.records.table.Load() == nil && n.settings().Node.Operators == "":
-		return n.records.missing()
+		return n.records.noStateReason()
 	}
 	return ""
 }
--- a/node/handon.go
+++ b/node/handon.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// keptVersions is how many versions of the state are kept to pack against: a node is rarely more than two
+	// maxVersions is how many versions of the state are kept to pack against: a node is rarely more than two
 	// changes behind, and one that is gets the state without a base.
-	keptVersions = 3
-	// handOnShare is the share of a node's link that records may take, so that requests keep the rest, and
+	maxVersions = 3
+	// stateLinkShare is the share of a node's link that records may take, so that requests keep the rest, and
 	// handOnAhead how much of that is promised ahead. What a link carries is shared by all that it serves:
 	// more at once would delay the first without hastening the last. Those turned away go to the nodes that
 	// were served.
-	handOnShare              = 0.5
-	handOnAhead clock.Millis = 100
+	stateLinkShare              = 0.5
+	stateMaxAhead  clock.Millis = 100
 	// servedKept is how many nodes that were served are remembered.
 	servedKept = 64
-	// holdersTold is how many of the nodes that were served are named to one that is turned away.
-	holdersTold = 6
-	// smallRecord is how many bytes of a packed record go by datagram to all nodes: one packet.
-	smallRecord = 1100
-	// wholeRecord is up to how many bytes a record goes with a comparison, as it is.
-	wholeRecord = 16 << 10
+	// maxHoldersSent is how many of the nodes that were served are named to one that is turned away.
+	maxHoldersSent = 6
+	// maxDatagramRecordBytes is how many bytes of a packed record go by datagram to all nodes: one packet.
+	maxDatagramRecordBytes = 1100
+	// maxInlineRecordBytes is up to how many bytes a record goes with a comparison, as it is.
+	maxInlineRecordBytes = 16 << 10
 	// maxRecord bounds a record that was packed, against a broken one.
 	maxRecord = 32 << 20
 )
@@ -39,9 +39,9 @@
 // errNoBase says that a record was packed against a version that this node does not hold.
 var errNoBase = errors.New("record is packed against a version that is not held")
 
-// handOn gives the newest version of the desired state to other nodes: as what has changed since the version
+// stateTransfer gives the newest version of the desired state to other nodes: as what has changed since the version
 // that they hold, and to a few at a time: whole to all that ask, it would fill this node's link for many seconds.
-type handOn struct {
+type stateTransfer struct {
 	clock clock.Clock
 	link  *pacer.Pacer
 	// bytesPerMilli is what records may take of the link.
@@ -56,30 +56,30 @@
 	served []string
 }
 
-func newHandOn(c clock.Clock, linkMbps float64) *handOn {
-	return &handOn{clock: c, link: pacer.New(c, handOnAhead), bytesPerMilli: linkMbps * bytesPerMilliMbps * handOnShare, packs: map[uint64]*tlv1.Record{}}
+func newStateTransfer(c clock.Clock, linkMbps float64) *stateTransfer {
+	return &stateTransfer{clock: c, link: pacer.New(c, stateMaxAhead), bytesPerMilli: linkMbps * bytesPerMilliMbps * stateLinkShare, packs: map[uint64]*tlv1.Record{}}
 }
 
 // bytesPerMilliMbps is how many bytes a link of 1 Mbit/s carries in a millisecond.
 const bytesPerMilliMbps = 125
 
-// keep notes the version that this node holds now.
-func (h *handOn) keep(x replica.Record) {
+// addVersion notes the version that this node holds now.
+func (h *stateTransfer) addVersion(x replica.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if n := len(h.kept); n > 0 && h.kept[n-1].Version >= x.Version {
 		return
 	}
 	h.kept = append(h.kept, x)
-	if len(h.kept) > keptVersions {
+	if len(h.kept) > maxVersions {
 		h.kept = slices.Delete(h.kept, 0, 1)
 	}
 	clear(h.packs)
 	h.served = nil
 }
 
-// newest returns the newest version, packed for a node that holds another one; nil if that is no older.
-func (h *handOn) newest(held uint64) (*tlv1.Record, error) {
+// encodeFor returns the encodeFor version, packed for a node that holds another one; nil if that is no older.
+func (h *stateTransfer) encodeFor(held uint64) (*tlv1.Record, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.kept) == 0 || h.kept[len(h.kept)-1].Version <= held {
@@ -105,8 +105,8 @@
 	}, nil
 }
 
-// change returns the newest version packed for nodes that hold the one before it; nil if there is none.
-func (h *handOn) change() (*tlv1.Record, error) {
+// encodeDelta returns the newest version packed for nodes that hold the one before it; nil if there is none.
+func (h *stateTransfer) encodeDelta() (*tlv1.Record, error) {
 	h.mu.Lock()
 	n := len(h.kept)
 	if n < 2 {
@@ -115,10 +115,10 @@
 	}
 	before := h.kept[n-2].Version
 	h.mu.Unlock()
-	return h.newest(before)
+	return h.encodeFor(before)
 }
 
-func (h *handOn) version(v uint64) (value []byte, found bool) {
+func (h *stateTransfer) version(v uint64) (value []byte, found bool) {
 	for _, x := range h.kept {
 		if x.Version == v {
 			return x.Value, true
@@ -127,8 +127,8 @@
 	return nil, false
 }
 
-// unpack returns the value of a record that another node packed.
-func (h *handOn) unpack(x *tlv1.Record) (value []byte, err error) {
+// decode returns the value of a record that another node packed.
+func (h *stateTransfer) decode(x *tlv1.Record) (value []byte, err error) {
 	h.mu.Lock()
 	base, found := h.version(x.GetBase())
 	h.mu.Unlock()
@@ -147,13 +147,13 @@
 
 // admit says whether the node at the address may be handed so many bytes now. If not, holders are other nodes
 // to ask.
-func (h *handOn) admit(address string, bytes int) (admitted bool, holders []string) {
+func (h *stateTransfer) admit(address string, bytes int) (admitted bool, holders []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.link.Admits() {
 		holders = slices.Clone(h.served)
 		rand.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
-		return false, holders[:min(len(holders), holdersTold)]
+		return false, holders[:min(len(holders), maxHoldersSent)]
 	}
 	h.link.Charge(float64(bytes) / h.bytesPerMilli)
 	if address != "" && !slices.Contains(h.served, address) && len(h.served) < servedKept {
--- a/node/known.go
+++ b/node/known.go
@@ -7,11 +7,11 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// hashBytes is the size of a member's hash: of 1,000 members one in 4 million is taken for another, and heard of by gossip.
-const hashBytes = 4
+// memberHashBytes is the size of a member's hash: of 1,000 members one in 4 million is taken for another, and heard of by gossip.
+const memberHashBytes = 4
 
-// hashOf tells what a node knows of a member apart from other things that it may know: its process and how it is.
-func hashOf(m *tlv1.Member) uint32 {
+// memberHash tells what a node knows of a member apart from other things that it may know: its process and how it is.
+func memberHash(m *tlv1.Member) uint32 {
 	x := xxhash.New()
 	_, _ = x.WriteString(m.GetNode())
 	b := binary.LittleEndian.AppendUint64(nil, m.GetIncarnation())
@@ -24,22 +24,22 @@
 	return uint32(x.Sum64())
 }
 
-// hashes returns the hashes of the members.
-func hashes(members []*tlv1.Member) (list []byte) {
+// memberHashes returns the memberHashes of the members.
+func memberHashes(members []*tlv1.Member) (list []byte) {
 	for _, m := range members {
-		list = binary.LittleEndian.AppendUint32(list, hashOf(m))
+		list = binary.LittleEndian.AppendUint32(list, memberHash(m))
 	}
 	return list
 }
 
-// unknownTo returns the members whose hashes are not among those known.
-func unknownTo(members []*tlv1.Member, known []byte) (list []*tlv1.Member) {
+// missingMembers returns the members whose hashes are not among those known.
+func missingMembers(members []*tlv1.Member, known []byte) (list []*tlv1.Member) {
 	held := map[uint32]bool{}
-	for ; len(known) >= hashBytes; known = known[hashBytes:] {
+	for ; len(known) >= memberHashBytes; known = known[memberHashBytes:] {
 		held[binary.LittleEndian.Uint32(known)] = true
 	}
 	for _, m := range members {
-		if !held[hashOf(m)] {
+		if !held[memberHash(m)] {
 			list = append(list, m)
 		}
 	}
--- a/node/large_state_test.go
+++ b/node/large_state_test.go
@@ -34,8 +34,8 @@
 // lagged, and 2,957 lines of event=sync_failed ms=400 in the fleet, 2,666 of them with bytes=0, 434 of them with
 // the address of one node; event=state_behind showed that the node knew.
 
-// grown is a state with so many routes beside those of the calm one; with weights, one of them is split.
-func (f *fleet) grown(version, routes int, weights bool) time.Time {
+// putLargeState is a state with so many routes beside those of the calm one; with weights, one of them is split.
+func (f *fleet) putLargeState(version, routes int, weights bool) time.Time {
 	draw := rand.New(rand.NewPCG(1, 2))
 	rows := []standin.RouteRow{route("/get/", standin.Repeatable, "desk"), route("/once/", standin.RunOnce, "desk")}
 	for range routes {
@@ -81,7 +81,7 @@
 	f.target("i-1", "desk")
 	f.calm(3)
 	f.ready(3, 1)
-	acked := f.grown(4, 3000, false) // about 0.7 MB on the wire, 3.6 s
+	acked := f.putLargeState(4, 3000, false) // about 0.7 MB on the wire, 3.6 s
 	last, late := f.inForceWithin(4, acked, 8*time.Second)
 	t.Logf("in force after %v", last)
 	if late != nil {
@@ -105,7 +105,7 @@
 	f.ready(3, 1)
 	f.nodes[0].door.SetFaults(standin.Faults{Away: standin.Busy})
 	for i := range changes {
-		f.grown(4+i, routes+i, false)
+		f.putLargeState(4+i, routes+i, false)
 		time.Sleep(100 * time.Millisecond)
 	}
 	f.nodes[0].door.SetFaults(standin.Faults{})
@@ -133,7 +133,7 @@
 	n := f.nodes[0]
 	n.door.SetFaults(standin.Faults{Away: standin.Busy})
 	for i := range changes {
-		f.grown(4+i, routes+i, false)
+		f.putLargeState(4+i, routes+i, false)
 	}
 	f.eventually("the store has refused a question", func() bool { return strings.Contains(n.log.String(), "kind=state pause_ms=") })
 	n.door.SetFaults(standin.Faults{})
@@ -160,7 +160,7 @@
 	f.eventually("the node follows the store", func() bool { return f.nodes[0].door.Usage().Feeds > 1 })
 	var acked time.Time
 	for i := range changes {
-		acked = f.grown(4+i, routes+i, false)
+		acked = f.putLargeState(4+i, routes+i, false)
 		time.Sleep(100 * time.Millisecond)
 	}
 	last, late := f.inForceWithin(3+changes, acked, bound)
@@ -179,10 +179,10 @@
 	f.calm(3)
 	f.ready(3, 1)
 	f.eventually("the node follows the store", func() bool { return f.nodes[0].door.Usage().Feeds > 1 })
-	f.grown(4, 500, false)
+	f.putLargeState(4, 500, false)
 	f.eventually("the large state is in force", func() bool { return inForce(f.nodes[0], 4) })
 	before := f.nodes[0].door.Usage().Reads
-	f.grown(5, 500, true)
+	f.putLargeState(5, 500, true)
 	f.eventually("the change is in force", func() bool { return inForce(f.nodes[0], 5) })
 	time.Sleep(2 * time.Second)
 	is.Equal(f.nodes[0].door.Usage().Reads, before)
@@ -208,7 +208,7 @@
 	for step := 1; step <= 4; step++ {
 		for _, weights := range []bool{false, true} {
 			version++
-			last, late := f.inForceWithin(version, f.grown(version, 270*step, weights), bound)
+			last, late := f.inForceWithin(version, f.putLargeState(version, 270*step, weights), bound)
 			t.Logf("version %d, %d routes more: on all nodes after %v", version, 270*step, last)
 			if late != nil {
 				t.Errorf("version %d is not in force after %v on %v", version, last, late)
@@ -238,7 +238,7 @@
 	f.target("i-1", "desk")
 	f.calm(3)
 	f.ready(3, 1)
-	f.grown(4, 2000, false)
+	f.putLargeState(4, 2000, false)
 	for _, n := range f.nodes {
 		f.eventually(n.name+" has the large state", func() bool { return inForce(n, 4) })
 	}
@@ -266,7 +266,7 @@
 		is.Equal(u.Reads, before[n.name].Reads)
 	}
 	is.True(feeds >= 3)
-	acked := f.grown(5, 2000, true)
+	acked := f.putLargeState(5, 2000, true)
 	_, late := f.inForceWithin(5, acked, 3*time.Second)
 	is.Equal(len(late), 0)
 }
@@ -312,7 +312,7 @@
 	}
 	for step, routes := range []int{700, 1400} {
 		version := 4 + step
-		last, late := f.inForceWithin(version, f.grown(version, routes, false), 2500*time.Millisecond)
+		last, late := f.inForceWithin(version, f.putLargeState(version, routes, false), 2500*time.Millisecond)
 		t.Logf("version %d, %d routes more: on all nodes after %v", version, routes, last)
 		if late != nil {
 			t.Errorf("version %d is not in force after %v on %v", version, last, late)
@@ -326,7 +326,7 @@
 	is := is.New(t)
 	f := newFleetOnLinks(t, 1, 300_000)
 	f.target("i-1", "desk")
-	f.grown(3, 1400, false)
+	f.putLargeState(3, 1400, false)
 	f.ready(3, 1)
 	c := tinladderv1connect.NewFleetServiceClient(f.http, "http://"+f.nodes[0].peersAt)
 	pull := func(held uint64, from string) *tlv1.PullResponse {
--- a/node/node.go
+++ b/node/node.go
@@ -75,31 +75,31 @@
 	metrics  *nodeMetrics
 	tuning   pool.Tuning
 
-	members  *member.Table
-	records  *records
-	source   store.Source
-	services *services
-	carriers *carriers
-	demand   *demand
-	duty     *duty
-	lag      *lag
-	handOn   *handOn
-	pulls    *pulls
-	compares *compares
-	packs    *packs
-	wire     *wire
-	peers    *peers
-	conns    *forward.ConnPool
-	limiter  *limiter
-	quotas   *quotas
-	ledger   *once.Ledger
-	configs  config.Log
-	writer   config.Writer
-	events   *eventLog
-	leaving  *leaving
-	watch    *memberWatch
-	traffic  *traffic
-	suspects *suspects
+	members       *member.Table
+	records       *records
+	source        store.Source
+	services      *services
+	carriers      *carriers
+	demand        *demand
+	duty          *duty
+	lag           *lagTracker
+	stateTransfer *stateTransfer
+	puller        *puller
+	compares      *comparisonLimiter
+	packs         *packs
+	wire          *wire
+	peers         *peers
+	conns         *forward.ConnPool
+	limiter       *limiter
+	quotas        *quotas
+	ledger        *once.Ledger
+	configs       config.Log
+	writer        config.Writer
+	events        *eventLog
+	leaving       *leaving
+	watch         *memberWatch
+	traffic       *traffic
+	suspects      *suspects
 
 	doors []*door.Server
 	done  chan struct{}
@@ -140,17 +140,17 @@
 	n.ledger = once.NewLedger(n.self, once.DefaultLimits, n.clock, newRand())
 	n.suspects = newSuspects(n)
 	n.records = newRecords(n)
-	n.source = n.platform.Source(n.records.refuse)
+	n.source = n.platform.Source(n.records.recordRefusal)
 	n.services = newServices(n)
 	n.demand = newDemand(n)
 	n.carriers = newCarriers(n)
 	n.peers = newPeers(n)
 	n.duty = newDuty(n)
 	n.quotas = newQuotas(n)
-	n.lag = newLag(n)
-	n.handOn = newHandOn(n.clock, s.Capacity.LinkMbps)
-	n.pulls = newPulls(n)
-	n.compares = newCompares(n.clock, s.Capacity.Cores, s.Capacity.LinkMbps)
+	n.lag = newLagTracker(n)
+	n.stateTransfer = newStateTransfer(n.clock, s.Capacity.LinkMbps)
+	n.puller = newPuller(n)
+	n.compares = newComparisonLimiter(n.clock, s.Capacity.Cores, s.Capacity.LinkMbps)
 	n.packs = newPacks(n)
 	n.events = newEventLog(n.self, n.platform.Objects, n.clock)
 	n.events.wanted = s.Node.Operators != ""
@@ -302,7 +302,7 @@
 	n.duty.tick()
 	n.demand.tick()
 	n.services.tick()
-	n.records.tick()
+	n.records.logSuppressed()
 	n.quotas.tick()
 	n.watch.tick()
 	n.traffic.tick()
--- a/node/operators.go
+++ b/node/operators.go
@@ -109,7 +109,7 @@
 	if subtle.ConstantTimeCompare(sum[:], admin) == 1 {
 		return operator{admin: true, name: "admin"}, nil
 	}
-	w, valid := workspaceOf(token)
+	w, valid := tokenWorkspace(token)
 	if !valid {
 		return operator{}, connect.NewError(connect.CodeUnauthenticated, errors.New("token is not valid"))
 	}
@@ -391,7 +391,7 @@
 		}
 		res.Peers = append(res.Peers, &tlv1.PeerStatus{Node: m.GetNode(), Hall: m.GetHall(), State: state})
 	}
-	book := n.records.book.Load()
+	book := n.records.documents.Load()
 	for _, sv := range n.services.all() {
 		svc, err := ident.ParseService(sv.name)
 		if err != nil && !op.admin || err == nil && !op.may(string(svc.Workspace)) {
--- a/node/own.go
+++ b/node/own.go
@@ -38,9 +38,9 @@
 // serveOwn serves a caller of the fleet's own interface, by token, service and path.
 func (n *Node) serveOwn(w http.ResponseWriter, r *http.Request, passed string) {
 	token := r.Header.Get(HeaderToken)
-	ws, valid := workspaceOf(token)
-	space := n.records.book.Load().workspaces[ws]
-	name, named := serviceNamed(r.Header.Get(HeaderService), ws)
+	ws, valid := tokenWorkspace(token)
+	space := n.records.documents.Load().workspaces[ws]
+	name, named := parseServiceName(r.Header.Get(HeaderService), ws)
 	var route *ownRoute
 	twice := false
 	if space != nil && named {
--- a/node/packs.go
+++ b/node/packs.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// leastPacked is how many records a node must hold of a kind to give them as a pack.
-	leastPacked = 256
-	// packShare is the share of the parts of a set that must differ for all of it to be given.
-	packShare = 0.5
-	// packFor is how long a pack is given though some records have changed since: those are found by the next comparison.
-	packFor = 1 * clock.Second
-	// packKept is for how long packs are kept at all, and pointsKept how many sets are remembered.
-	packKept   = 10 * clock.Second
-	pointsKept = 32
+	// minPackRecords is how many records a node must hold of a kind to give them as a pack.
+	minPackRecords = 256
+	// packDiffShare is the share of the parts of a set that must differ for all of it to be given.
+	packDiffShare = 0.5
+	// packMaxAge is how long a pack is given though some records have changed since: those are found by the next comparison.
+	packMaxAge = 1 * clock.Second
+	// packRetention is for how long packs are kept at all, and pointsKept how many sets are remembered.
+	packRetention = 10 * clock.Second
+	maxSnapshots  = 32
 	// maxPack bounds what a pack may come to, against a broken one.
 	maxPack = 64 << 20
-	// packFactor is how many times as fast as other answers ready ones are given, by the processor.
-	packFactor = 10
+	// packSpeedup is how many times as fast as other answers ready ones are given, by the processor.
+	packSpeedup = 10
 )
 
 // packs are the answers that this node keeps ready for others that lack whole sets of records. Nodes that start together all
@@ -37,8 +37,8 @@
 
 	mu sync.Mutex
 	// made are the packs by what is in them, and points the sets that this node held of late.
-	made   map[packKey]pack
-	points map[store.Kind][]point
+	made      map[packKey]pack
+	snapshots map[store.Kind][]snapshot
 }
 
 // A packKey names a pack: all records of the kind that are newer than the version.
@@ -47,8 +47,8 @@
 	after uint64
 }
 
-// A point is a set that this node held: its sum, and the newest version in it. What it holds besides by now is newer.
-type point struct {
+// A snapshot is a set that this node held: its sum, and the newest version in it. What it holds besides by now is newer.
+type snapshot struct {
 	sum, newest uint64
 }
 
@@ -60,29 +60,29 @@
 }
 
 func newPacks(n *Node) *packs {
-	return &packs{node: n, made: map[packKey]pack{}, points: map[store.Kind][]point{}}
+	return &packs{node: n, made: map[packKey]pack{}, snapshots: map[store.Kind][]snapshot{}}
 }
 
-// hold notes the set that this node holds of a kind.
-func (p *packs) hold(k store.Kind, sum, newest uint64) {
+// addSnapshot notes the set that this node holds of a kind.
+func (p *packs) addSnapshot(k store.Kind, sum, newest uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.points[k]
+	list := p.snapshots[k]
 	if len(list) > 0 && list[len(list)-1].sum == sum {
 		return
 	}
-	p.points[k] = append(list[max(0, len(list)-pointsKept+1):len(list):len(list)], point{sum: sum, newest: newest})
+	p.snapshots[k] = append(list[max(0, len(list)-maxSnapshots+1):len(list):len(list)], snapshot{sum: sum, newest: newest})
 }
 
-// wanted says whether a node is given many records of a kind at once, and after which version: all that are newer than a
+// shouldPack says whether a node is given many records of a kind at once, and after which version: all that are newer than a
 // set that this node held too, or all there are where most parts of the sets differ.
-func (p *packs) wanted(k store.Kind, theirs *tlv1.KindSum) (after uint64, wanted bool) {
+func (p *packs) shouldPack(k store.Kind, theirs *tlv1.KindSum) (after uint64, wanted bool) {
 	set := p.node.records.sets[k]
-	if set.Len() < leastPacked {
+	if set.Len() < minPackRecords {
 		return 0, false
 	}
 	p.mu.Lock()
-	for _, x := range p.points[k] {
+	for _, x := range p.snapshots[k] {
 		if x.sum == theirs.GetSum() {
 			after = x.newest
 		}
@@ -98,7 +98,7 @@
 			differ++
 		}
 	}
-	return after, float64(differ) > packShare*float64(len(mine))
+	return after, float64(differ) > packDiffShare*float64(len(mine))
 }
 
 // ready returns a pack, if there is one that may still be given.
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	x, found = p.made[key]
-	return x, found && (x.sum == p.node.records.sets[key.kind].Sum() || p.node.clock.Now()-x.madeAt < packFor)
+	return x, found && (x.sum == p.node.records.sets[key.kind].Sum() || p.node.clock.Now()-x.madeAt < packMaxAge)
 }
 
 // make makes a pack, and returns how many bytes it has unpacked. It drops those of its kind that are old.
@@ -115,14 +115,14 @@
 	set := p.node.records.sets[key.kind]
 	x = pack{sum: set.Sum(), madeAt: now}
 	list := slices.DeleteFunc(set.All(), func(r replica.Record) bool { return r.Version <= key.after })
-	res := &tlv1.SyncResponse{Records: []*tlv1.Records{p.node.records.wire(key.kind, list)}}
-	x.answer, bytes, err = packed(res)
+	res := &tlv1.SyncResponse{Records: []*tlv1.Records{p.node.records.toWire(key.kind, list)}}
+	x.answer, bytes, err = compressResponse(res)
 	if err != nil {
 		return x, bytes, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.made, func(k packKey, old pack) bool { return k.kind == key.kind && now-old.madeAt > packKept })
+	maps.DeleteFunc(p.made, func(k packKey, old pack) bool { return k.kind == key.kind && now-old.madeAt > packRetention })
 	p.made[key] = x
 	return x, bytes, nil
 }
@@ -132,8 +132,8 @@
 	return &tlv1.Pack{Answer: x.answer, AgeMs: int64(max(now-x.madeAt, 0))}
 }
 
-// packed compresses an answer.
-func packed(res *tlv1.SyncResponse) (answer []byte, bytes int, err error) {
+// compressResponse compresses an answer.
+func compressResponse(res *tlv1.SyncResponse) (answer []byte, bytes int, err error) {
 	raw, err := proto.Marshal(res)
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "pack answer")
@@ -142,8 +142,8 @@
 	return answer, len(raw), err
 }
 
-// unpacked returns what a pack holds, its ages as of now.
-func unpacked(p *tlv1.Pack) (res *tlv1.SyncResponse, err error) {
+// decompressResponse returns what a pack holds, its ages as of now.
+func decompressResponse(p *tlv1.Pack) (res *tlv1.SyncResponse, err error) {
 	defer func() { err = errors.Wrap(err, "unpack answer") }()
 	raw, err := delta.Unpack(nil, p.GetAnswer(), maxPack)
 	if err != nil {
--- a/node/peers.go
+++ b/node/peers.go
@@ -122,7 +122,7 @@
 		switch k := store.Kind(theirs.GetKind()); {
 		case !p.differs(theirs):
 		case k == store.State && p.sendsState(theirs, req.Msg.GetPulls()), k == store.Evacuations:
-			res.Records = append(res.Records, n.records.wire(k, n.records.sets[k].All()))
+			res.Records = append(res.Records, n.records.toWire(k, n.records.sets[k].All()))
 		}
 	}
 	rest := res
@@ -130,7 +130,7 @@
 		rest = &tlv1.SyncResponse{}
 	}
 	if !req.Msg.GetRecordsOnly() {
-		rest.Members = unknownTo(n.members.All(), req.Msg.GetKnown())
+		rest.Members = missingMembers(n.members.All(), req.Msg.GetKnown())
 	}
 	given := p.giveMany(req.Msg, rest, res)
 	if rest != res {
@@ -158,7 +158,7 @@
 		case !req.GetPacks():
 			given = p.giveRecords(k, theirs, rest) || given
 		default:
-			after, many := n.packs.wanted(k, theirs)
+			after, many := n.packs.shouldPack(k, theirs)
 			if !many {
 				given = p.giveRecords(k, theirs, rest) || given
 			} else if x := p.givePack(packKey{kind: k, after: after}); x != nil {
@@ -173,7 +173,7 @@
 func (p *peers) giveRecords(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
 	n := p.node
 	return n.compares.give(func() (made, sent int) {
-		list := n.records.wire(k, n.records.sets[k].Diff(theirs.GetSums()))
+		list := n.records.toWire(k, n.records.sets[k].Diff(theirs.GetSums()))
 		rest.Records = append(rest.Records, list)
 		made = proto.Size(list)
 		return made, made
@@ -189,7 +189,7 @@
 	}
 	n.compares.give(func() (made, sent int) {
 		x, found := n.packs.ready(key)
-		made = len(x.answer) / packFactor
+		made = len(x.answer) / packSpeedup
 		if !found {
 			var err error
 			if x, made, err = n.packs.make(key); err != nil {
@@ -209,7 +209,7 @@
 // pack adds the rest of an answer to it, compressed if that is worth it.
 func (p *peers) pack(rest, res *tlv1.SyncResponse) {
 	if proto.Size(rest) >= leastSmall {
-		answer, _, err := packed(rest)
+		answer, _, err := compressResponse(rest)
 		if err == nil {
 			res.Packs = append(res.Packs, &tlv1.Pack{Answer: answer})
 			return
@@ -263,7 +263,7 @@
 	if theirs.GetNewest() >= r.sets[store.State].Newest() {
 		return false
 	}
-	return !pulls || r.stateSize() <= wholeRecord
+	return !pulls || r.stateSize() <= maxInlineRecordBytes
 }
 
 // met compares this node with the first other one that it hears from.
@@ -347,7 +347,7 @@
 	}
 	if whole {
 		req.Members = n.members.All()
-		req.Known = hashes(req.Members)
+		req.Known = memberHashes(req.Members)
 		req.Members = req.Members[:min(len(req.Members), membersTold)] // the first is this node; others ask for the rest
 	}
 	c := tinladderv1connect.NewFleetServiceClient(p.http, "http://"+address)
@@ -364,7 +364,7 @@
 	n.quotas.known.see(int(res.Msg.GetKnown()), n.clock.Now())
 	records := p.takeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
-		n.records.hear(r, address)
+		n.records.receive(r, address)
 	}
 	if !n.duty.hearKinds(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
 		p.mu.Lock()
@@ -379,7 +379,7 @@
 	n := p.node
 	parts := []*tlv1.SyncResponse{res}
 	for _, x := range res.GetPacks() {
-		part, err := unpacked(x)
+		part, err := decompressResponse(x)
 		if err != nil {
 			n.log.WithFields(logrus.Fields{"event": "record_unreadable", "from": address, "error": err}).Warn()
 			continue
--- a/node/pull.go
+++ b/node/pull.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// pullsAtOnce is how many nodes are asked for a record at a time; the second one only when the first has
+	// maxSearches is how many nodes are asked for a record at a time; the second one only when the first has
 	// not ended after secondPull, so that one slow holder does not decide.
-	pullsAtOnce              = 2
-	secondPull  clock.Millis = 300
-	// pullPause is the least time, and the most that chance adds to it, before another node is asked after one
+	maxSearches                    = 2
+	secondSearchDelay clock.Millis = 300
+	// minPullDelay is the least time, and the most that chance adds to it, before another node is asked after one
 	// that was busy: about what a node needs to have a record handed on to it.
-	pullPause     clock.Millis = 30
-	pullPauseMore clock.Millis = 70
-	// holdersKept is how many nodes are remembered to have a record.
-	holdersKept = 16
+	minPullDelay    clock.Millis = 30
+	pullDelayJitter clock.Millis = 70
+	// maxHolders is how many nodes are remembered to have a record.
+	maxHolders = 16
 )
 
 // pullLimits bounds a question for a record. An answer that keeps coming is not given up.
@@ -35,16 +35,16 @@
 // uncompressed asks for answers as they are: records come packed.
 var uncompressed = connect.WithAcceptCompression("gzip", nil, nil)
 
-// pulls gets a newer version of the desired state from nodes that hold it.
-type pulls struct {
+// puller gets a newer version of the desired state from nodes that hold it.
+type puller struct {
 	node *Node
 
 	mu sync.Mutex
-	// wanted is the newest version that another node is known to hold, and holders are those that do.
-	wanted  uint64
-	holders []string
-	// asking are the searches that go on.
-	asking []*search
+	// wantedVersion is the newest version that another node is known to hold, and holders are those that do.
+	wantedVersion uint64
+	holders       []string
+	// searches are the searches that go on.
+	searches []*search
 }
 
 // A search asks one holder after the other.
@@ -53,81 +53,81 @@
 	cancel context.CancelFunc
 }
 
-func newPulls(n *Node) *pulls {
-	return &pulls{node: n}
+func newPuller(n *Node) *puller {
+	return &puller{node: n}
 }
 
 // held returns the version of the state's record that this node holds.
-func (p *pulls) held() uint64 {
+func (p *puller) held() uint64 {
 	return p.node.records.sets[store.State].Newest()
 }
 
-// want notes that the node at the address holds a version, and asks for it if this node lacks it.
-func (p *pulls) want(version uint64, address string) {
+// fetch notes that the node at the address holds a version, and asks for it if this node lacks it.
+func (p *puller) fetch(version uint64, address string) {
 	if version <= p.held() || address == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if version > p.wanted {
-		p.wanted, p.holders = version, nil
+	if version > p.wantedVersion {
+		p.wantedVersion, p.holders = version, nil
 	}
 	p.add(address)
 	now := p.node.clock.Now()
-	if len(p.asking) >= pullsAtOnce || slices.ContainsFunc(p.asking, func(s *search) bool { return now-s.begun < secondPull }) {
+	if len(p.searches) >= maxSearches || slices.ContainsFunc(p.searches, func(s *search) bool { return now-s.begun < secondSearchDelay }) {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &search{begun: now, cancel: cancel}
-	p.asking = append(p.asking, s)
+	p.searches = append(p.searches, s)
 	go p.run(ctx, s, address)
 }
 
 // add remembers a holder.
-func (p *pulls) add(address string) {
+func (p *puller) add(address string) {
 	if !slices.Contains(p.holders, address) && address != p.node.settings().Node.PeersAddress() {
 		p.holders = append(p.holders, address)
-		p.holders = p.holders[max(0, len(p.holders)-holdersKept):]
+		p.holders = p.holders[max(0, len(p.holders)-maxHolders):]
 	}
 }
 
 // run asks one holder after the other, until this node has what it wants or knows nobody to ask.
-func (p *pulls) run(ctx context.Context, s *search, address string) {
+func (p *puller) run(ctx context.Context, s *search, address string) {
 	defer p.end(s)
 	for address != "" && ctx.Err() == nil {
-		if p.ask(ctx, address) {
-			p.endAll()
+		if p.pullFrom(ctx, address) {
+			p.cancelSearches()
 		} else {
-			pause(ctx, pullPause+rand.N(pullPauseMore))
+			pause(ctx, minPullDelay+rand.N(pullDelayJitter))
 		}
 		address = p.next(address)
 	}
 }
 
-func (p *pulls) end(s *search) {
+func (p *puller) end(s *search) {
 	s.cancel()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asking = slices.DeleteFunc(p.asking, func(x *search) bool { return x == s })
+	p.searches = slices.DeleteFunc(p.searches, func(x *search) bool { return x == s })
 }
 
-// endAll ends all searches, once one has brought what is wanted.
-func (p *pulls) endAll() {
+// cancelSearches ends all searches, once one has brought what is wanted.
+func (p *puller) cancelSearches() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted > p.held() {
+	if p.wantedVersion > p.held() {
 		return
 	}
-	for _, s := range p.asking {
+	for _, s := range p.searches {
 		s.cancel()
 	}
 }
 
 // next returns a holder by chance, another than the last one if there is any; "" if nothing is wanted.
-func (p *pulls) next(last string) string {
+func (p *puller) next(last string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted <= p.held() || len(p.holders) == 0 {
+	if p.wantedVersion <= p.held() || len(p.holders) == 0 {
 		return ""
 	}
 	others := slices.DeleteFunc(slices.Clone(p.holders), func(a string) bool { return a == last })
@@ -137,8 +137,8 @@
 	return others[rand.IntN(len(others))]
 }
 
-// ask asks one node, and says whether that brought this node further.
-func (p *pulls) ask(ctx context.Context, address string) bool {
+// pullFrom asks one node, and says whether that brought this node further.
+func (p *puller) pullFrom(ctx context.Context, address string) bool {
 	n := p.node
 	held, begun := p.held(), n.clock.Now()
 	ctx, guard := stall.Watch(ctx, pullLimits)
@@ -160,10 +160,10 @@
 	}
 	x := res.Msg.GetRecord()
 	if x == nil {
-		p.told(address, res.Msg)
+		p.handleNoRecord(address, res.Msg)
 		return false
 	}
-	n.records.hear(&tlv1.Records{Kind: string(store.State), Records: []*tlv1.Record{x}}, address)
+	n.records.receive(&tlv1.Records{Kind: string(store.State), Records: []*tlv1.Record{x}}, address)
 	if p.held() <= held {
 		p.drop(address)
 		return false
@@ -171,8 +171,8 @@
 	return true
 }
 
-// told takes in the word of a node that has no record to give: it hands on others, or holds nothing newer.
-func (p *pulls) told(address string, res *tlv1.PullResponse) {
+// handleNoRecord takes in the word of a node that has no record to give: it hands on others, or holds nothing newer.
+func (p *puller) handleNoRecord(address string, res *tlv1.PullResponse) {
 	if !res.GetBusy() {
 		p.drop(address)
 	}
@@ -183,7 +183,7 @@
 	}
 }
 
-func (p *pulls) drop(address string) {
+func (p *puller) drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holders = slices.DeleteFunc(p.holders, func(a string) bool { return a == address })
@@ -191,15 +191,15 @@
 
 // Pull implements the service that other nodes call.
 func (p *peers) Pull(_ context.Context, req *connect.Request[tlv1.PullRequest]) (*connect.Response[tlv1.PullResponse], error) {
-	h := p.node.handOn
-	x, err := h.newest(req.Msg.GetHeld())
+	h := p.node.stateTransfer
+	x, err := h.encodeFor(req.Msg.GetHeld())
 	if err != nil {
 		return nil, err
 	}
 	if x == nil || store.Kind(req.Msg.GetKind()) != store.State {
 		return connect.NewResponse(&tlv1.PullResponse{}), nil
 	}
-	if len(x.GetPacked()) <= smallRecord {
+	if len(x.GetPacked()) <= maxDatagramRecordBytes {
 		return connect.NewResponse(&tlv1.PullResponse{Record: x}), nil
 	}
 	admitted, holders := h.admit(req.Msg.GetPeerAddress(), len(x.GetPacked()))
--- a/node/records.go
+++ b/node/records.go
@@ -27,26 +27,26 @@
 	node *Node
 	sets map[store.Kind]*replica.Set
 	// table is the desired state of the platform's operators, book that of the fleet's own.
-	table atomic.Pointer[desired.Table]
-	book  atomic.Pointer[book]
-	// first is closed when the first desired state is in force.
-	first chan struct{}
+	table     atomic.Pointer[desired.Table]
+	documents atomic.Pointer[documentIndex]
+	// firstState is closed when the firstState desired state is in force.
+	firstState chan struct{}
 	// refused is the newest desired state that cannot be used at all.
 	refused atomic.Pointer[store.Refusal]
-	// decoded are the targets as they were last asked for.
-	decoded decoded
-	// lines bounds how many records of targets the log is told of one by one.
-	lines *logs.Limiter
+	// targetCache are the targets as they were last asked for.
+	targetCache targetCache
+	// targetLineLimiter bounds how many records of targets the log is told of one by one.
+	targetLineLimiter *logs.Limiter
 	// mu keeps changes from being taken over out of order.
 	mu sync.Mutex
 }
 
 func newRecords(n *Node) *records {
-	r := &records{node: n, lines: logs.NewLimiter(n.clock, detailed), sets: map[store.Kind]*replica.Set{}, first: make(chan struct{}), decoded: newDecoded()}
+	r := &records{node: n, targetLineLimiter: logs.NewLimiter(n.clock, maxTargetLines), sets: map[store.Kind]*replica.Set{}, firstState: make(chan struct{}), targetCache: newTargetCache()}
 	for _, k := range []store.Kind{store.State, store.Targets, store.Documents, store.Suspects, store.Evacuations} {
 		r.sets[k] = replica.New(n.clock)
 	}
-	r.book.Store(newBook(nil))
+	r.documents.Store(newDocumentIndex(nil))
 	return r
 }
 
@@ -55,40 +55,40 @@
 	if r.sets[k] == nil || len(list) == 0 {
 		return nil
 	}
-	news := r.sets[k].Put(list)
-	r.takeOver(k, news, from)
-	return news
+	changed := r.sets[k].Put(list)
+	r.apply(k, changed, from)
+	return changed
 }
 
 // replace takes in all records that the store has, as read at the mark.
 func (r *records) replace(k store.Kind, list []replica.Record, m store.Cursor, from string) []replica.Record {
-	news := r.sets[k].Replace(list, uint64(m))
-	r.takeOver(k, news, from)
-	return news
+	changed := r.sets[k].Replace(list, uint64(m))
+	r.apply(k, changed, from)
+	return changed
 }
 
-// takeOver puts new records in force.
-func (r *records) takeOver(k store.Kind, news []replica.Record, from string) {
-	if len(news) == 0 {
+// apply puts new records in force.
+func (r *records) apply(k store.Kind, changed []replica.Record, from string) {
+	if len(changed) == 0 {
 		return
 	}
 	if k == store.Targets {
-		r.decoded.touch(news)
+		r.targetCache.markStale(changed)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch k {
 	case store.State:
-		r.takeState(from)
+		r.applyState(from)
 	case store.Documents:
-		r.book.Store(newBook(r.sets[k].Live()))
-		r.node.log.WithFields(logrus.Fields{"event": "documents_in_force", "from": from, "new": len(news)}).Info()
+		r.documents.Store(newDocumentIndex(r.sets[k].Live()))
+		r.node.log.WithFields(logrus.Fields{"event": "documents_in_force", "from": from, "new": len(changed)}).Info()
 	case store.Targets:
-		r.tellTargets(news, from)
+		r.logTargets(changed, from)
 	case store.Suspects:
-		r.node.suspects.take(news, from)
+		r.node.suspects.take(changed, from)
 	case store.Evacuations:
-		r.tellEvacuations(news, from)
+		r.tellEvacuations(changed, from)
 	}
 	switch k {
 	case store.Targets:
@@ -101,19 +101,19 @@
 	}
 }
 
-// takeState puts the newest desired state in force. One that makes no sense changes nothing, and
+// applyState puts the newest desired state in force. One that makes no sense changes nothing, and
 // within one life of the process versions only rise.
-func (r *records) takeState(from string) {
+func (r *records) applyState(from string) {
 	n := r.node
 	for _, x := range r.sets[store.State].Live() {
-		n.handOn.keep(x)
+		n.stateTransfer.addVersion(x)
 		t := r.compile(x, from)
 		if t == nil {
-			n.lag.caughtUp(store.State, x.Version)
+			n.lag.markCaughtUp(store.State, x.Version)
 			continue
 		}
 		if r.table.Swap(t) == nil {
-			close(r.first)
+			close(r.firstState)
 		}
 		for _, err := range t.Faults() {
 			n.metrics.recordRefused(store.State, false)
@@ -122,7 +122,7 @@
 		n.metrics.stateVersion(uint64(t.Version))
 		n.log.WithFields(logrus.Fields{
 			"event": "state_in_force", "version": t.Version, "from": from, "routes": len(t.Routes()),
-			"bytes": len(x.Value), "read_ms": n.clock.Now() - x.ReadAt, "behind_ms": n.lag.caughtUp(store.State, x.Version),
+			"bytes": len(x.Value), "read_ms": n.clock.Now() - x.ReadAt, "behind_ms": n.lag.markCaughtUp(store.State, x.Version),
 		}).Warn()
 	}
 }
@@ -147,8 +147,8 @@
 	return t
 }
 
-// refuse tells of a record, or a part of one, that was read from the store and cannot be used.
-func (r *records) refuse(x store.Refusal) {
+// recordRefusal tells of a record, or a part of one, that was read from the store and cannot be used.
+func (r *records) recordRefusal(x store.Refusal) {
 	n := r.node
 	n.metrics.recordRefused(x.Kind, x.Part == "")
 	n.log.WithFields(logrus.Fields{
@@ -159,24 +159,24 @@
 	}
 }
 
-// readable says whether this node holds the newest state that it has seen: one that the store has and that cannot be
+// hasNewestState says whether this node holds the newest state that it has seen: one that the store has and that cannot be
 // read may take away what the one in force allows.
-func (r *records) readable() bool {
+func (r *records) hasNewestState() bool {
 	x := r.refused.Load()
 	return x == nil || x.Version <= r.sets[store.State].Newest()
 }
 
-// missing says why there is no desired state.
-func (r *records) missing() string {
+// noStateReason says why there is no desired state.
+func (r *records) noStateReason() string {
 	if x := r.refused.Load(); x != nil {
 		return fmt.Sprintf("the desired state in the store cannot be used, record version %d: %v", x.Version, x.Err)
 	}
 	return "no desired state is known yet"
 }
 
-// firstWait is how long a request waits for the first desired state after the node's start. It is
+// firstStateTimeout is how long a request waits for the first desired state after the node's start. It is
 // there within tens of milliseconds of the store's or another node's answer.
-const firstWait clock.Millis = 600
+const firstStateTimeout clock.Millis = 600
 
 // await returns the desired state. A request that comes before there is one waits a little, and no longer than the node is
 // there to answer it.
@@ -184,10 +184,10 @@
 	if t := r.table.Load(); t != nil || r.refused.Load() != nil {
 		return t // one that cannot be used is not waited for
 	}
-	wait := time.NewTimer(firstWait.Duration())
+	wait := time.NewTimer(firstStateTimeout.Duration())
 	defer wait.Stop()
 	select {
-	case <-r.first:
+	case <-r.firstState:
 	case <-wait.C:
 	case <-req.Context().Done():
 	case <-r.node.leaving.ending.Done():
@@ -195,43 +195,43 @@
 	return r.table.Load()
 }
 
-// detailed is the most records of targets in a second that are told of one by one.
-const detailed = 16
+// maxTargetLines is the most records of targets in a second that are told of one by one.
+const maxTargetLines = 16
 
-// tellTargets tells the log of targets that came, changed or went.
-func (r *records) tellTargets(news []replica.Record, from string) {
-	if len(news) > detailed {
+// logTargets tells the log of targets that came, changed or went.
+func (r *records) logTargets(changed []replica.Record, from string) {
+	if len(changed) > maxTargetLines {
 		var newest uint64
-		for _, x := range news {
+		for _, x := range changed {
 			newest = max(newest, x.Version)
 		}
-		r.node.log.WithFields(logrus.Fields{"event": "target_records", "count": len(news), "newest": newest, "from": from}).Info()
+		r.node.log.WithFields(logrus.Fields{"event": "target_records", "count": len(changed), "newest": newest, "from": from}).Info()
 		return
 	}
-	for _, x := range news {
-		if r.lines.Allow() {
-			r.tellTarget(x, from)
+	for _, x := range changed {
+		if r.targetLineLimiter.Allow() {
+			r.logTarget(x, from)
 		}
 	}
 }
 
-// tick tells the log how many records of targets came besides those that it was told of.
-func (r *records) tick() {
-	if more := r.lines.TakeSuppressed(); more > 0 {
+// logSuppressed tells the log how many records of targets came besides those that it was told of.
+func (r *records) logSuppressed() {
+	if more := r.targetLineLimiter.TakeSuppressed(); more > 0 {
 		r.node.log.WithFields(logrus.Fields{"event": "target_records", "count": more, "newest": r.sets[store.Targets].Newest(), "from": "all"}).Info()
 	}
 }
 
-func (r *records) tellTarget(x replica.Record, from string) {
+func (r *records) logTarget(x replica.Record, from string) {
 	f := logrus.Fields{"event": "target_record", "target": x.Key, "gone": x.Deleted, "version": x.Version, "from": from}
-	if t := registered(x); t != nil {
+	if t := decodeRegistration(x); t != nil {
 		f["service"], f["address"], f["hall"], f["leaving"] = t.GetService(), t.GetAddress(), t.GetHall(), t.GetLeaving()
 	}
 	r.node.log.WithFields(f).Info()
 }
 
-// registered returns what the target said of itself, or nil.
-func registered(x replica.Record) *tlv1.RegisteredTarget {
+// decodeRegistration returns what the target said of itself, or nil.
+func decodeRegistration(x replica.Record) *tlv1.RegisteredTarget {
 	t := &tlv1.RegisteredTarget{}
 	if x.Deleted || proto.Unmarshal(x.Value, t) != nil {
 		return nil
@@ -241,53 +241,53 @@
 
 // A target is one that a service has.
 type target struct {
-	id      ident.Target
-	service string
-	address string
-	hall    ident.Hall
-	slots   int
-	leaving bool
-	warmAt  clock.Millis
+	id          ident.Target
+	service     string
+	address     string
+	hall        ident.Hall
+	slots       int
+	leaving     bool
+	warmupUntil clock.Millis
 	// version is that of the record that says so.
 	version uint64
-	// life tells the target's starts under one id apart, and seq counts what it wrote in this one.
-	life, seq uint64
+	// generation tells the target's starts under one id apart, and seq counts what it wrote in this one.
+	generation, seq uint64
 }
 
-// targetOf is the target of a record that says t of itself.
-func targetOf(x replica.Record, t *tlv1.RegisteredTarget) target {
+// newTarget is the target of a record that says t of itself.
+func newTarget(x replica.Record, t *tlv1.RegisteredTarget) target {
 	return target{
 		version: x.Version,
 		id:      ident.Target(x.Key), service: t.GetService(), address: t.GetAddress(), hall: ident.Hall(t.GetHall()),
-		slots: int(t.GetSlots()), leaving: t.GetLeaving(), warmAt: x.ReadAt + clock.Millis(t.GetColdMs()),
-		life: uint64(t.GetBorn()), seq: t.GetSeq(),
+		slots: int(t.GetSlots()), leaving: t.GetLeaving(), warmupUntil: x.ReadAt + clock.Millis(t.GetColdMs()),
+		generation: uint64(t.GetBorn()), seq: t.GetSeq(),
 	}
 }
 
-// follow returns a target as it is now. Where it has started again under its id, the connections to its former life are
+// updateTarget returns a target as it is now. Where it has started again under its id, the connections to its former life are
 // given up: nobody answers on them.
-func (r *records) follow(was, t target) target {
+func (r *records) updateTarget(was, t target) target {
 	if was.version == t.version {
 		return was
 	}
-	if t.life == 0 { // it does not say when it started: what it wrote is counted anew
-		t.life = was.life
+	if t.generation == 0 { // it does not say when it started: what it wrote is counted anew
+		t.generation = was.generation
 		if t.seq < was.seq {
-			t.life++
+			t.generation++
 		}
 	}
-	if t.life == was.life {
+	if t.generation == was.generation {
 		return t
 	}
 	r.node.conns.CloseIdle(was.address)
 	r.node.log.WithFields(logrus.Fields{
-		"event": "target_reborn", "target": t.id, "service": t.service, "address": t.address, "life": t.life, "was": was.life,
+		"event": "target_reborn", "target": t.id, "service": t.service, "address": t.address, "life": t.generation, "was": was.generation,
 	}).Warn()
 	return t
 }
 
-// wire returns records as other nodes are told of them.
-func (r *records) wire(k store.Kind, list []replica.Record) *tlv1.Records {
+// toWire returns records as other nodes are told of them.
+func (r *records) toWire(k store.Kind, list []replica.Record) *tlv1.Records {
 	now := r.node.clock.Now()
 	out := &tlv1.Records{Kind: string(k)}
 	for _, x := range list {
@@ -298,8 +298,8 @@
 	return out
 }
 
-// hear takes in records that another node tells of.
-func (r *records) hear(m *tlv1.Records, from string) {
+// receive takes in records that another node tells of.
+func (r *records) receive(m *tlv1.Records, from string) {
 	now := r.node.clock.Now()
 	list := make([]replica.Record, 0, len(m.GetRecords()))
 	for _, x := range m.GetRecords() {
@@ -315,9 +315,9 @@
 		})
 	}
 	k := store.Kind(m.GetKind())
-	news := r.put(k, list, from)
-	if m.GetHall() != "" && ident.Hall(m.GetHall()) != r.node.hall() && len(news) > 0 {
-		r.node.duty.forward(k, news)
+	changed := r.put(k, list, from)
+	if m.GetHall() != "" && ident.Hall(m.GetHall()) != r.node.hall() && len(changed) > 0 {
+		r.node.duty.forwardToHall(k, changed)
 	}
 }
 
@@ -331,7 +331,7 @@
 	case x.GetVersion() <= r.sets[k].Newest():
 		return nil, nil // it is no news, and is not taken
 	}
-	return r.node.handOn.unpack(x)
+	return r.node.stateTransfer.decode(x)
 }
 
 // stateSize returns how many bytes the newest state has, as nodes send it.
--- a/node/services.go
+++ b/node/services.go
@@ -118,7 +118,7 @@
 
 // fill gives the service's pool its targets.
 func (s *services) fill(svc *service, targets []pool.Target) {
-	svc.pool.SetFloor(int(s.node.records.book.Load().services[svc.name].GetService().GetFloorSlots()))
+	svc.pool.SetFloor(int(s.node.records.documents.Load().services[svc.name].GetService().GetFloorSlots()))
 	svc.pool.SetTargets(targets)
 	svc.filled.Store(true)
 }
@@ -179,7 +179,7 @@
 
 // known returns all targets that registered themselves or that documents name.
 func (s *services) known() []target {
-	registered, named := s.node.records.targets(), s.node.records.book.Load().targets()
+	registered, named := s.node.records.targets(), s.node.records.documents.Load().targets()
 	if len(named) == 0 {
 		return registered
 	}
@@ -207,7 +207,7 @@
 		}
 		until, rate := place.cold(t, turn)
 		byService[t.service] = append(byService[t.service], pool.Target{
-			ID: t.id, Address: t.address, Slots: t.slots, Leaving: t.leaving, WarmAt: max(t.warmAt, until), Life: t.life,
+			ID: t.id, Address: t.address, Slots: t.slots, Leaving: t.leaving, WarmAt: max(t.warmupUntil, until), Life: t.generation,
 			Hall: t.hall, SameHall: near, OtherRegion: s.node.isAbroad(t.hall), Assigned: turn >= 0, TrialRank: max(turn, 0),
 			Evacuated: place.evacuations[t.hall].inForce, WarmupUntil: until, WarmupRate: rate,
 		})
@@ -235,7 +235,7 @@
 func (s *services) refresh() {
 	s.refreshing.Lock()
 	defer s.refreshing.Unlock()
-	s.node.records.touchedServices()
+	s.node.records.takeChangedServices()
 	s.refreshOf(nil)
 }
 
@@ -244,7 +244,7 @@
 func (s *services) refreshTouched() {
 	s.refreshing.Lock()
 	defer s.refreshing.Unlock()
-	s.refreshOf(s.node.records.touchedServices())
+	s.refreshOf(s.node.records.takeChangedServices())
 }
 
 // refreshOf takes over the targets of the services named; nil stands for all. The caller holds the lock, so that of two
@@ -254,7 +254,7 @@
 	s.refreshedAt, s.stale = s.node.clock.Now(), false
 	s.mu.Unlock()
 	slots, count := s.node.records.targetSlots()
-	for _, t := range s.node.records.book.Load().targets() {
+	for _, t := range s.node.records.documents.Load().targets() {
 		slots[t.service] += t.slots
 		count++
 	}
@@ -305,7 +305,7 @@
 	}
 	if len(held) == 0 {
 		_, registered := s.node.records.targetSlots()
-		return registered + len(s.node.records.book.Load().targets())
+		return registered + len(s.node.records.documents.Load().targets())
 	}
 	for _, t := range s.known() {
 		if !held[t.service] {
@@ -343,7 +343,7 @@
 
 // named returns the services that the desired state and the documents name.
 func (s *services) named() []string {
-	names := slices.Collect(maps.Keys(s.node.records.book.Load().services))
+	names := slices.Collect(maps.Keys(s.node.records.documents.Load().services))
 	if t := s.node.records.table.Load(); t != nil {
 		names = slices.AppendSeq(names, maps.Keys(t.Services))
 	}
--- a/node/silent_test.go
+++ b/node/silent_test.go
@@ -194,7 +194,7 @@
 	for _, n := range f.nodes[1:] {
 		n.door.SetFaults(standin.Faults{Away: standin.Busy})
 	}
-	f.inForceWithin(4, f.grown(4, 600, false), 5*time.Second) // connections are open, and rest
+	f.inForceWithin(4, f.putLargeState(4, 600, false), 5*time.Second) // connections are open, and rest
 	open := 0
 	for _, n := range f.nodes {
 		open += n.muffler.hush()
@@ -202,7 +202,7 @@
 	if open == 0 {
 		t.Fatal("no connection was open")
 	}
-	last, late := f.inForceWithin(5, f.grown(5, 1200, false), 4*time.Second)
+	last, late := f.inForceWithin(5, f.putLargeState(5, 1200, false), 4*time.Second)
 	t.Logf("%d connections silent; in force on all after %v", open, last)
 	if late != nil {
 		t.Errorf("not in force after %v on %v", last, late)
--- a/node/spread_heard_test.go
+++ b/node/spread_heard_test.go
@@ -32,7 +32,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	for _, n := range f.nodes {
-		f.eventually(n.name+" knows all targets", func() bool { return f.known(n) == changes+1 })
+		f.eventually(n.name+" knows all targets", func() bool { return f.targetCount(n) == changes+1 })
 	}
 	compared := f.sum("tinladder_syncs_total") - before
 	t.Logf("%.0f comparisons for %d changes at %d nodes", compared, changes, nodes)
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -80,7 +80,7 @@
 		f.store.Put("servers", fmt.Sprint("i-", i), standin.TargetRow("127.0.0.1:9", "desk", "h0", "ready", 3))
 	}
 	for _, n := range f.nodes {
-		f.eventually(n.name+" knows all targets", func() bool { return f.known(n) == count+1 })
+		f.eventually(n.name+" knows all targets", func() bool { return f.targetCount(n) == count+1 })
 	}
 	copies := (f.sum(far) - before) / count / recordBytes
 	t.Logf("each record went between halls %.1f times", copies)
@@ -91,8 +91,8 @@
 // recordBytes is about what a record of a target is in a datagram with others.
 const recordBytes = 50
 
-// known returns how many targets the node knows.
-func (f *fleet) known(n *testNode) int {
+// targetCount returns how many targets the node knows.
+func (f *fleet) targetCount(n *testNode) int {
 	return int(f.sumOf(n, "tinladder_targets"))
 }
 
--- a/node/wire.go
+++ b/node/wire.go
@@ -169,7 +169,7 @@
 		case *tlv1.Parcel_Confirm:
 			n.duty.hear(b.Confirm)
 		case *tlv1.Parcel_Records:
-			n.records.hear(b.Records, "peer")
+			n.records.receive(b.Records, "peer")
 		case *tlv1.Parcel_Report:
 			n.services.hear(b.Report)
 		case *tlv1.Parcel_Borrow:
