--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// send sends the node a datagram as another one would.
+// send sends the node a datagram as another node would.
 func (f *fleet) send(n *testNode, p *tlv1.Parcel) {
 	f.t.Helper()
 	raw, err := proto.Marshal(p)
@@ -30,7 +30,7 @@
 	}
 }
 
-// confirmOfState is another node's word that it holds the version of the state, at an address where nobody answers.
+// confirmOfState is a confirmation from another node that it holds this version of the state. Its address is unreachable.
 func confirmOfState(version uint64) *tlv1.Parcel {
 	return &tlv1.Parcel{Body: &tlv1.Parcel_Confirm{Confirm: &tlv1.Confirm{
 		Node: "n9", Incarnation: 1, Hall: "h0", PeerAddress: "127.0.0.1:9",
@@ -38,8 +38,8 @@
 	}}}
 }
 
-// TestNodeThatLacksAStateRefusesNoRoute tells a node of a newer desired state and lets it not have that. The route may
-// be there.
+// TestNodeThatLacksAStateRefusesNoRoute announces a newer desired state to a node that cannot fetch it. The node must
+// answer an unknown route with 503, not 404, since the newer state may define it.
 func TestNodeThatLacksAStateRefusesNoRoute(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -53,11 +53,11 @@
 		r := f.call(n, http.MethodGet, "/none/", "2", "")
 		return r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != ""
 	})
-	is.Equal(f.call(n, http.MethodGet, "/get/", "3", "").status, http.StatusOK) // what it knows it serves
+	is.Equal(f.call(n, http.MethodGet, "/get/", "3", "").status, http.StatusOK) // known routes are served
 }
 
-// TestNodeWithoutWordOfTheStoreRefusesNoRoute turns the only node away from the store while a route comes. From when that
-// has to be in force on, the node does not say that it is not there; with word of the store it knows again.
+// TestNodeWithoutWordOfTheStoreRefusesNoRoute adds a route while the store is unavailable to the only node. Once the bound
+// for the route to be in force has passed, the node must not answer it with 404; with the store back it may answer 404 again.
 func TestNodeWithoutWordOfTheStoreRefusesNoRoute(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -66,7 +66,7 @@
 	f.ready(3, 1)
 	n := f.nodes[0]
 	f.each(standin.Faults{Away: standin.Reset})
-	time.Sleep(100 * time.Millisecond) // questions that wait end
+	time.Sleep(100 * time.Millisecond) // pending long polls end
 	f.store.Configure(4, []string{"desk"}, route("/get/", standin.Repeatable, "desk"), route("/new/", standin.Repeatable, "desk"))
 	came := time.Now()
 	for time.Since(came) < 3500*time.Millisecond {
@@ -85,8 +85,8 @@
 	})
 }
 
-// TestNodesInTouchRefuseWhatIsNotThere asks a fleet at rest for a route that no state has: each node in touch says so, at
-// any time.
+// TestNodesInTouchRefuseWhatIsNotThere requests a route that no state defines from a fleet in contact with the store: each
+// node must always answer 404.
 func TestNodesInTouchRefuseWhatIsNotThere(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 6)
--- a/node/records.go
+++ b/node/records.go
@@ -19,25 +19,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fromStore names the store as the origin of news.
+// fromStore is logged as the origin of records that were read from the store.
 const fromStore = "store"
 
-// records holds this node's copy of what the store has, ready for use.
+// records holds this node's replicas of the store's records, and the forms of them that requests use.
 type records struct {
 	node *Node
 	sets map[store.Kind]*replica.Set
-	// table is the desired state of the platform's operators, book that of the fleet's own.
+	// table is compiled from the desired state of the platform's operators, documents from those written through
+	// the operators' interface.
 	table     atomic.Pointer[desired.Table]
 	documents atomic.Pointer[documentIndex]
-	// firstState is closed when the firstState desired state is in force.
+	// firstState is closed once a desired state is in force.
 	firstState chan struct{}
-	// refused is the newest desired state that cannot be used at all.
+	// refused is the newest desired state that was rejected as a whole.
 	refused atomic.Pointer[store.Refusal]
-	// targetCache are the targets as they were last asked for.
+	// targetCache holds the registered targets in decoded form.
 	targetCache targetCache
-	// targetLineLimiter bounds how many records of targets the log is told of one by one.
+	// targetLineLimiter limits the log lines about single target records.
 	targetLineLimiter *logs.Limiter
-	// mu keeps changes from being taken over out of order.
+	// mu serializes the application of changes, so that they take effect in order.
 	mu sync.Mutex
 }
 
@@ -50,7 +51,7 @@
 	return r
 }
 
-// put takes in records that are newer than those held, and returns them.
+// put adds the records that are newer than those held, and returns them.
 func (r *records) put(k store.Kind, list []replica.Record, from string) []replica.Record {
 	if r.sets[k] == nil || len(list) == 0 {
 		return nil
@@ -60,14 +61,14 @@
 	return changed
 }
 
-// replace takes in all records that the store has, as read at the mark.
+// replace replaces the replica of a kind with all records that the store has, as read at cursor m.
 func (r *records) replace(k store.Kind, list []replica.Record, m store.Cursor, from string) []replica.Record {
 	changed := r.sets[k].Replace(list, uint64(m))
 	r.apply(k, changed, from)
 	return changed
 }
 
-// apply puts new records in force.
+// apply puts changed records into force.
 func (r *records) apply(k store.Kind, changed []replica.Record, from string) {
 	if len(changed) == 0 {
 		return
@@ -101,8 +102,8 @@
 	}
 }
 
-// applyState puts the newest desired state in force. One that makes no sense changes nothing, and
-// within one life of the process versions only rise.
+// applyState puts the newest desired state into force. An invalid one is skipped, and versions only increase within
+// one process lifetime.
 func (r *records) applyState(from string) {
 	n := r.node
 	for _, x := range r.sets[store.State].Live() {
@@ -127,7 +128,7 @@
 	}
 }
 
-// compile returns the state of a record as requests use it, or nil if it is not to be put in force.
+// compile returns the compiled state of a record, or nil if it is invalid or not newer than the one in force.
 func (r *records) compile(x replica.Record, from string) *desired.Table {
 	n := r.node
 	s := &tlv1.DesiredState{}
@@ -147,7 +148,7 @@
 	return t
 }
 
-// recordRefusal tells of a record, or a part of one, that was read from the store and cannot be used.
+// recordRefusal logs and counts a record, or a part of one, that was read from the store and cannot be used.
 func (r *records) recordRefusal(x store.Refusal) {
 	n := r.node
 	n.metrics.recordRefused(x.Kind, x.Part == "")
@@ -159,14 +160,14 @@
 	}
 }
 
-// hasNewestState says whether this node holds the newest state that it has seen: one that the store has and that cannot be
-// read may take away what the one in force allows.
+// hasNewestState reports whether no newer desired state has been rejected than the one held. A rejected one may withdraw
+// what the one in force allows.
 func (r *records) hasNewestState() bool {
 	x := r.refused.Load()
 	return x == nil || x.Version <= r.sets[store.State].Newest()
 }
 
-// noStateReason says why there is no desired state.
+// noStateReason explains to callers why there is no desired state.
 func (r *records) noStateReason() string {
 	if x := r.refused.Load(); x != nil {
 		return fmt.Sprintf("the desired state in the store cannot be used, record version %d: %v", x.Version, x.Err)
@@ -174,15 +175,15 @@
 	return "no desired state is known yet"
 }
 
-// firstStateTimeout is how long a request waits for the first desired state after the node's start. It is
-// there within tens of milliseconds of the store's or another node's answer.
+// firstStateTimeout is how long a request waits for the first desired state after the node's start. The state usually
+// arrives within tens of milliseconds of the first response of the store or of another node.
 const firstStateTimeout clock.Millis = 600
 
-// await returns the desired state. A request that comes before there is one waits a little, and no longer than the node is
-// there to answer it.
+// await returns the desired state. Before the first one is in force it waits up to firstStateTimeout, but not beyond
+// the end of the request or of the node's shutdown. It returns nil if there is none.
 func (r *records) await(req *http.Request) *desired.Table {
 	if t := r.table.Load(); t != nil || r.refused.Load() != nil {
-		return t // one that cannot be used is not waited for
+		return t // a rejected state is not waited for
 	}
 	wait := time.NewTimer(firstStateTimeout.Duration())
 	defer wait.Stop()
@@ -195,10 +196,10 @@
 	return r.table.Load()
 }
 
-// maxTargetLines is the most records of targets in a second that are told of one by one.
+// maxTargetLines is how many target records a second are logged one by one; larger batches are logged as a count.
 const maxTargetLines = 16
 
-// logTargets tells the log of targets that came, changed or went.
+// logTargets logs targets that were added, changed or removed.
 func (r *records) logTargets(changed []replica.Record, from string) {
 	if len(changed) > maxTargetLines {
 		var newest uint64
@@ -215,7 +216,7 @@
 	}
 }
 
-// logSuppressed tells the log how many records of targets came besides those that it was told of.
+// logSuppressed logs how many target records targetLineLimiter has suppressed.
 func (r *records) logSuppressed() {
 	if more := r.targetLineLimiter.TakeSuppressed(); more > 0 {
 		r.node.log.WithFields(logrus.Fields{"event": "target_records", "count": more, "newest": r.sets[store.Targets].Newest(), "from": "all"}).Info()
@@ -230,7 +231,7 @@
 	r.node.log.WithFields(f).Info()
 }
 
-// decodeRegistration returns what the target said of itself, or nil.
+// decodeRegistration returns the registration in a target's record, or nil if the record is deleted or invalid.
 func decodeRegistration(x replica.Record) *tlv1.RegisteredTarget {
 	t := &tlv1.RegisteredTarget{}
 	if x.Deleted || proto.Unmarshal(x.Value, t) != nil {
@@ -239,7 +240,7 @@
 	return t
 }
 
-// A target is one that a service has.
+// A target is a process that serves requests of a service.
 type target struct {
 	id          ident.Target
 	service     string
@@ -248,13 +249,13 @@
 	slots       int
 	leaving     bool
 	warmupUntil clock.Millis
-	// version is that of the record that says so.
+	// version is that of the record that the target was read from.
 	version uint64
-	// generation tells the target's starts under one id apart, and seq counts what it wrote in this one.
+	// generation distinguishes starts of the target under the same id, and seq counts its writes within one generation.
 	generation, seq uint64
 }
 
-// newTarget is the target of a record that says t of itself.
+// newTarget returns the target that registered itself as t in record x.
 func newTarget(x replica.Record, t *tlv1.RegisteredTarget) target {
 	return target{
 		version: x.Version,
@@ -264,13 +265,13 @@
 	}
 }
 
-// updateTarget returns a target as it is now. Where it has started again under its id, the connections to its former life are
-// given up: nobody answers on them.
+// updateTarget returns the new form of a target that was known as was. If it has restarted under its id, idle connections
+// to the previous generation are closed, since nothing answers on them.
 func (r *records) updateTarget(was, t target) target {
 	if was.version == t.version {
 		return was
 	}
-	if t.generation == 0 { // it does not say when it started: what it wrote is counted anew
+	if t.generation == 0 { // the start time is unknown; a lower seq means a restart
 		t.generation = was.generation
 		if t.seq < was.seq {
 			t.generation++
@@ -286,7 +287,7 @@
 	return t
 }
 
-// toWire returns records as other nodes are told of them.
+// toWire returns records in the form in which they are sent to other nodes.
 func (r *records) toWire(k store.Kind, list []replica.Record) *tlv1.Records {
 	now := r.node.clock.Now()
 	out := &tlv1.Records{Kind: string(k)}
@@ -298,7 +299,7 @@
 	return out
 }
 
-// receive takes in records that another node tells of.
+// receive adds records that another node has sent.
 func (r *records) receive(m *tlv1.Records, from string) {
 	now := r.node.clock.Now()
 	list := make([]replica.Record, 0, len(m.GetRecords()))
@@ -321,7 +322,7 @@
 	}
 }
 
-// valueOf returns a record's value, also of one that was packed.
+// valueOf returns a record's value, decompressed if necessary.
 func (r *records) valueOf(k store.Kind, x *tlv1.Record) ([]byte, error) {
 	switch {
 	case len(x.GetPacked()) == 0:
@@ -329,12 +330,12 @@
 	case k != store.State:
 		return nil, errors.Newf("packed record of kind %q", k)
 	case x.GetVersion() <= r.sets[k].Newest():
-		return nil, nil // it is no news, and is not taken
+		return nil, nil // not newer than the one held, and not needed
 	}
 	return r.node.stateTransfer.decode(x)
 }
 
-// stateSize returns how many bytes the newest state has, as nodes send it.
+// stateSize returns the size in bytes of the newest desired state, uncompressed.
 func (r *records) stateSize() (bytes int) {
 	for _, x := range r.sets[store.State].Live() {
 		bytes += len(x.Value)
--- a/node/records_test.go
+++ b/node/records_test.go
@@ -14,7 +14,7 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// inForce says whether the node has had the version of the desired state in force.
+// inForce reports whether the node has put this version of the desired state into force.
 func inForce(n *testNode, version int) bool {
 	end := fmt.Sprintf(" version=%d", version)
 	for line := range strings.Lines(n.log.String()) {
@@ -25,12 +25,12 @@
 	return false
 }
 
-// TestStateIsInForceInTime changes the desired state while the store is away, deaf or forgetful for
-// some nodes. Every node must have it in force within the bound of the settings.
+// TestStateIsInForceInTime changes the desired state while the store is unavailable or slow, delivers no changes or has
+// lost its history for some nodes. Every node must have it in force within the bound of the settings.
 func TestStateIsInForceInTime(t *testing.T) {
 	cases := []struct {
 		name string
-		// trouble begins before the change.
+		// trouble is called before the change.
 		trouble func(f *fleet)
 		bound   time.Duration
 	}{
@@ -56,7 +56,7 @@
 			f.target("i-1", "desk")
 			f.calm(3)
 			f.ready(3, 1)
-			time.Sleep(700 * time.Millisecond) // the duty is settled
+			time.Sleep(700 * time.Millisecond) // the watchers are settled
 			c.trouble(f)
 			f.calm(4)
 			start := time.Now()
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestNodeCutFromOthersAsksTheStore starts a node that no seed answers.
+// TestNodeCutFromOthersAsksTheStore starts a node without reachable seeds.
 func TestNodeCutFromOthersAsksTheStore(t *testing.T) {
 	f := newFleet(t, 1)
 	f.target("i-1", "desk")
@@ -92,7 +92,7 @@
 	f.eventually("the change is in force", func() bool { return inForce(f.nodes[0], 4) })
 }
 
-// TestStateNeverGoesBack writes an older state, a broken one and one that makes no sense.
+// TestStateNeverGoesBack writes an older state, one that is not JSON and one of the wrong type. None may come into force.
 func TestStateNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -119,8 +119,8 @@
 	f.eventually("a good one is taken again", func() bool { return inForce(f.nodes[0], 11) })
 }
 
-// TestTargetsThatLeaveGetNoNewWork has targets leave in each way, with the store at hand or away for
-// half of the nodes, and counts what comes to them later than the bound.
+// TestTargetsThatLeaveGetNoNewWork has targets leave in several ways while the store is unavailable to half of the nodes,
+// and counts the requests that reach them after the bound.
 func TestTargetsThatLeaveGetNoNewWork(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -157,7 +157,7 @@
 	}
 }
 
-// TestLapsedTargetsComeBack removes the rows of all targets and writes them again.
+// TestLapsedTargetsComeBack removes the rows of all targets and writes one of them again.
 func TestLapsedTargetsComeBack(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -175,7 +175,7 @@
 	is.True(time.Since(start) < 2*time.Second)
 }
 
-// TestStoreAwayAtTheStart starts a node beside others while the store is away.
+// TestStoreAwayAtTheStart restarts a node while the store is unavailable. It must get its records from other nodes.
 func TestStoreAwayAtTheStart(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -192,7 +192,7 @@
 	is.Equal(f.call(n, http.MethodGet, "/get/", "x", "").status, http.StatusOK)
 }
 
-// TestStoreIsAskedLittle counts the calls of a fleet at rest.
+// TestStoreIsAskedLittle limits the store calls of a fleet without changes.
 func TestStoreIsAskedLittle(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 9)
@@ -211,7 +211,7 @@
 	time.Sleep(5 * time.Second)
 	asked := calls() - before
 	t.Logf("%d calls in 5 s", asked)
-	is.True(asked <= 28) // three watchers, two kinds, each once in 1.3 s, and some room
+	is.True(asked <= 28) // three watchers, two kinds, each once in 1.3 s, and some margin
 }
 
 // TestSettingsAreReadAgain changes the settings file, with and without a signal.
@@ -229,8 +229,8 @@
 	f.eventually("the node goes on", func() bool { return inForce(n, 3) })
 }
 
-// TestOneUnknownWordCostsItself writes a state with a kind of route that this version does not know, a
-// route that cannot be read and a service that speaks another protocol, beside a sound route.
+// TestOneUnknownWordCostsItself writes a state with an unknown type of route, a route that cannot be parsed and one to an
+// unknown service, beside a valid route. Only those routes may be affected.
 func TestOneUnknownWordCostsItself(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
@@ -254,11 +254,11 @@
 	})
 	desk.SetFaults(standin.TargetFaults{Lose: 1})
 	is.Equal(f.call(n, http.MethodGet, "/odd/x", "4", "").status, http.StatusBadGateway)
-	is.Equal(ran("4", desk), 1) // as if it ran once
+	is.Equal(ran("4", desk), 1) // treated as run-once
 }
 
-// TestStateThatCannotBeUsedIsNamed writes a state that makes no sense at all: callers, logs and metrics
-// name it, and the next good one is in force.
+// TestStateThatCannotBeUsedIsNamed writes a state that cannot be parsed. Callers and logs must name the reason, and the
+// next valid state must come into force.
 func TestStateThatCannotBeUsedIsNamed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
