--- a/node/book.go
+++ b/node/book.go
@@ -19,22 +19,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A documentIndex is the fleet's own documents, ready for use: workspaces, their services and routes. It is
-// never changed.
+// A documentIndex holds the documents written through the operators' interface by workspace and service. It is immutable.
 type documentIndex struct {
 	workspaces map[ident.Workspace]*workspace
 	services   map[string]*tlv1.Document
-	// evacuated are the halls whose targets are to get nothing.
+	// evacuated are the halls whose targets get no requests.
 	evacuated map[ident.Hall]bool
 }
 
-// A workspace is one customer's tokens and routes.
+// A workspace holds the document and the routes of one customer.
 type workspace struct {
 	doc    *tlv1.Workspace
 	routes []*ownRoute
 }
 
-// An ownRoute is a route of the fleet's own documents.
+// An ownRoute is a route defined by a service's document, as opposed to one of the platform's desired state.
 type ownRoute struct {
 	*desired.Route
 	service     ident.Service
@@ -42,8 +41,7 @@
 	keyOptional bool
 }
 
-// newDocumentIndex returns the documents' book. Documents that make no sense were refused when they were
-// written, and are left out here.
+// newDocumentIndex indexes the documents. Invalid ones were refused when they were written, and are skipped here.
 func newDocumentIndex(list []replica.Record) *documentIndex {
 	b := &documentIndex{workspaces: map[ident.Workspace]*workspace{}, services: map[string]*tlv1.Document{}, evacuated: map[ident.Hall]bool{}}
 	for _, x := range list {
@@ -92,7 +90,7 @@
 	}
 }
 
-// objectiveDivisor is the part of an own route's deadline within which answers are wanted, one in so many.
+// objectiveDivisor derives the latency objective of an own route: its deadline divided by this.
 const objectiveDivisor = 4
 
 func newOwnRoute(s ident.Service, i int, r *tlv1.Route) *ownRoute {
@@ -110,9 +108,8 @@
 	}
 }
 
-// moreSpecific puts routes with a host before those without, longer prefixes before shorter ones,
-// and routes with methods before those for all. The rest goes by name, so that all nodes choose
-// alike.
+// moreSpecific sorts routes with a host before those without, longer prefixes before shorter ones, and routes with
+// methods before those for all. Ties are broken by name, so that all nodes choose alike.
 func moreSpecific(a, b *ownRoute) int {
 	return cmp.Or(
 		cmp.Compare(len(b.Host), len(a.Host)),
@@ -122,8 +119,8 @@
 	)
 }
 
-// route returns the workspace's route for the request, of the named service if there is a name. Twice says that a target
-// may read the path as another route's.
+// route returns the workspace's route for the request, restricted to the named service if service is not empty. It
+// reports ambiguous if a target that normalizes the path differently may take it for another route's.
 func (w *workspace) route(r *http.Request, service string) (found *ownRoute, ambiguous bool) {
 	path := r.URL.EscapedPath()
 	found = w.find(r, path, service)
@@ -131,7 +128,7 @@
 	return found, resolved != path && w.find(r, resolved, service) != found
 }
 
-// find returns the workspace's route for the request at the path, of the named service if there is a name.
+// find returns the first route that matches the request at the path, of the named service if service is not empty.
 func (w *workspace) find(r *http.Request, path, service string) *ownRoute {
 	for _, o := range w.routes {
 		switch {
@@ -146,7 +143,7 @@
 	return nil
 }
 
-// concurrency is the workspace's share of one node's requests.
+// concurrency returns how many requests of the workspace one node runs at the same time.
 func (w *workspace) concurrency() int {
 	if n := w.doc.GetConcurrency(); n > 0 {
 		return int(n)
@@ -154,7 +151,7 @@
 	return config.DefaultConcurrency
 }
 
-// requestedNodes is how many requestedNodes the service's document asks for; 0 if it has none.
+// requestedNodes returns how many nodes the service's document asks for, or 0 if it has none.
 func (b *documentIndex) requestedNodes(service string) int {
 	if d := b.services[service]; d != nil {
 		return config.Nodes(d.GetService())
@@ -162,7 +159,7 @@
 	return 0
 }
 
-// targets returns the targets of all own services.
+// targets returns the targets that are listed in documents of services.
 func (b *documentIndex) targets() []target {
 	var list []target
 	for name, d := range b.services {
@@ -176,13 +173,13 @@
 	return list
 }
 
-// tokenWorkspace returns the workspace that a token claims. Its hash is still to be checked.
+// tokenWorkspace returns the workspace named in a token. The token itself is still to be verified.
 func tokenWorkspace(token string) (ident.Workspace, bool) {
 	name, _, found := strings.Cut(token, ".")
 	return ident.Workspace(name), found && ident.CheckName(name) == nil
 }
 
-// tokenIn says whether the token's hash is among those, in a time that does not tell which.
+// tokenIn reports whether the token's hash is among the hashes. It compares with all of them in constant time.
 func tokenIn(hashes [][]byte, token string) bool {
 	sum := sha256.Sum256([]byte(token))
 	found := 0
@@ -192,7 +189,8 @@
 	return found == 1
 }
 
-// parseServiceName returns the name of the service that the request names, within the workspace.
+// parseServiceName returns the service that the request names as NAME or WORKSPACE/NAME, and whether that is a valid name
+// within the workspace.
 func parseServiceName(s string, w ident.Workspace) (string, bool) {
 	if s == "" {
 		return "", true
--- a/node/split_test.go
+++ b/node/split_test.go
@@ -9,8 +9,8 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestSplitsPartThatIsFullIsRefused splits a route between two services, one of which turns all away. Its part of the
-// requests is refused, and is not moved to the other.
+// TestSplitsPartThatIsFullIsRefused splits a route between two services, one of which rejects every request. Its share of
+// the requests must be refused, and not be moved to the other service.
 func TestSplitsPartThatIsFullIsRefused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
