--- a/node/packs.go
+++ b/node/packs.go
@@ -15,44 +15,45 @@
 )
 
 const (
-	// minPackRecords is how many records a node must hold of a kind to give them as a pack.
+	// minPackRecords is how many records of a kind a node must hold to send them as a pack.
 	minPackRecords = 256
-	// packDiffShare is the share of the parts of a set that must differ for all of it to be given.
+	// packDiffShare is the share of a set's buckets that must differ for the whole set to be sent.
 	packDiffShare = 0.5
-	// packMaxAge is how long a pack is given though some records have changed since: those are found by the next comparison.
+	// packMaxAge is how long a pack is sent although records have changed since: the next comparison finds those.
 	packMaxAge = 1 * clock.Second
-	// packRetention is for how long packs are kept at all, and pointsKept how many sets are remembered.
+	// packRetention is how long packs are kept, and maxSnapshots how many earlier sets of a kind are remembered.
 	packRetention = 10 * clock.Second
 	maxSnapshots  = 32
-	// maxPack bounds what a pack may come to, against a broken one.
+	// maxPack limits the size of a decompressed pack, as protection against a corrupt one.
 	maxPack = 64 << 20
-	// packSpeedup is how many times as fast as other answers ready ones are given, by the processor.
+	// packSpeedup is how many times less processor time a cached pack takes than a response that is built.
 	packSpeedup = 10
 )
 
-// packs are the answers that this node keeps ready for others that lack whole sets of records. Nodes that start together all
-// lack the same: made for each of them, the answers would take the processor time that a start has.
+// packs caches responses for nodes that lack whole sets of records. Nodes that start together lack the same records, and
+// building a response for each of them would use up the processor time that is needed for the start.
 type packs struct {
 	node *Node
 
 	mu sync.Mutex
-	// made are the packs by what is in them, and points the sets that this node held of late.
+	// made holds the packs by their content, and snapshots the sets that this node held recently, oldest first.
 	made      map[packKey]pack
 	snapshots map[store.Kind][]snapshot
 }
 
-// A packKey names a pack: all records of the kind that are newer than the version.
+// A packKey identifies a pack: all records of the kind with a version above after.
 type packKey struct {
 	kind  store.Kind
 	after uint64
 }
 
-// A snapshot is a set that this node held: its sum, and the newest version in it. What it holds besides by now is newer.
+// A snapshot identifies a set that this node held by its sum and its newest version. Records added since have higher
+// versions.
 type snapshot struct {
 	sum, newest uint64
 }
 
-// A pack is one answer, compressed.
+// A pack is a compressed response.
 type pack struct {
 	answer []byte
 	sum    uint64
@@ -74,8 +75,9 @@
 	p.snapshots[k] = append(list[max(0, len(list)-maxSnapshots+1):len(list):len(list)], snapshot{sum: sum, newest: newest})
 }
 
-// shouldPack says whether a node is given many records of a kind at once, and after which version: all that are newer than a
-// set that this node held too, or all there are where most parts of the sets differ.
+// shouldPack reports whether a node gets its missing records of a kind as a pack, which is so if most buckets of the two
+// sets differ. The pack holds the records above version after: those added since a snapshot equal to the other node's set,
+// or all if there is no such snapshot.
 func (p *packs) shouldPack(k store.Kind, theirs *tlv1.KindSum) (after uint64, wanted bool) {
 	set := p.node.records.sets[k]
 	if set.Len() < minPackRecords {
@@ -101,7 +103,7 @@
 	return after, float64(differ) > packDiffShare*float64(len(mine))
 }
 
-// ready returns a pack, if there is one that may still be given.
+// ready returns a cached pack, if there is one that is recent enough to be sent.
 func (p *packs) ready(key packKey) (x pack, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +111,7 @@
 	return x, found && (x.sum == p.node.records.sets[key.kind].Sum() || p.node.clock.Now()-x.madeAt < packMaxAge)
 }
 
-// make makes a pack, and returns how many bytes it has unpacked. It drops those of its kind that are old.
+// make builds and caches a pack, and returns its uncompressed size. It removes expired packs of the same kind.
 func (p *packs) make(key packKey) (x pack, bytes int, err error) {
 	now := p.node.clock.Now()
 	set := p.node.records.sets[key.kind]
@@ -127,12 +129,12 @@
 	return x, bytes, nil
 }
 
-// wire returns the pack as it is sent now.
+// wire returns the pack as it is sent at time now.
 func (x pack) wire(now clock.Millis) *tlv1.Pack {
 	return &tlv1.Pack{Answer: x.answer, AgeMs: int64(max(now-x.madeAt, 0))}
 }
 
-// compressResponse compresses an answer.
+// compressResponse returns the compressed response and its uncompressed size.
 func compressResponse(res *tlv1.SyncResponse) (answer []byte, bytes int, err error) {
 	raw, err := proto.Marshal(res)
 	if err != nil {
@@ -142,7 +144,7 @@
 	return answer, len(raw), err
 }
 
-// decompressResponse returns what a pack holds, its ages as of now.
+// decompressResponse returns the response in a pack, with the ages of its records advanced by the pack's age.
 func decompressResponse(p *tlv1.Pack) (res *tlv1.SyncResponse, err error) {
 	defer func() { err = errors.Wrap(err, "unpack answer") }()
 	raw, err := delta.Unpack(nil, p.GetAnswer(), maxPack)
--- a/node/packs_test.go
+++ b/node/packs_test.go
@@ -13,10 +13,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestAFleetThatStartsReadsItsTargetsOnce starts 24 nodes before 3,000 targets at the same time, one in eight of which carries
-// as much as ten others. Watchers sent each record to each node, and nodes that held different ones gave each other all they
-// had, again and again: what each node read grew with nodes times targets. Each may read them once, and as much again twice for
-// members and for what changed meanwhile.
+// TestAFleetThatStartsReadsItsTargetsOnce starts 24 nodes at the same time with 3,000 targets in the store; one node in eight
+// has ten times the capacity of the others. When watchers sent each record to each node, and nodes with different sets sent
+// each other all their records repeatedly, the bytes read by each node grew with nodes times targets. Each node may read the
+// records once, and twice as much again for members and for concurrent changes.
 func TestAFleetThatStartsReadsItsTargetsOnce(t *testing.T) {
 	const nodes, targets = 24, 3000
 	f := &fleet{via: func(s string) string { return s }, more: func(i int) string {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestAFleetReadsWhatIsNewOnce has 600 targets more come at once, five times, to 24 nodes that hold 3,000. Each node read all
-// there are each time; it may read what is new once, and twice as much for what else goes with it.
+// TestAFleetReadsWhatIsNewOnce adds 600 targets at once, five times, to 24 nodes that hold 3,000. It guards against reading
+// all targets again for each change: a node may read the new ones once, and twice as much again for what accompanies them.
 func TestAFleetReadsWhatIsNewOnce(t *testing.T) {
 	const nodes, targets, more, times = 24, 3000, 600, 5
 	f := &fleet{via: func(s string) string { return s }, more: func(int) string {
@@ -72,7 +72,7 @@
 	}
 }
 
-// register writes the rows of so many targets at once and returns how many bytes their records take, compressed.
+// register writes the rows of new targets in one transaction, and returns the compressed size of their records.
 func (f *fleet) register(draw *rand.Rand, targets int) (packed int) {
 	f.t.Helper()
 	records := &tlv1.Records{}
@@ -98,7 +98,7 @@
 	return len(small)
 }
 
-// recordBytes is how many bytes of records and comparisons all nodes have read or been sent.
+// recordBytes returns how many bytes of records and comparisons all nodes have received.
 func (f *fleet) recordBytes() float64 {
 	return f.sum("tinladder_sync_read_bytes_total") + f.sumPrefix(`tinladder_peer_bytes_total{kind="records"`)
 }
