--- a/node/handon.go
+++ b/node/handon.go
@@ -15,44 +15,43 @@
 )
 
 const (
-	// maxVersions is how many versions of the state are kept to pack against: a node is rarely more than two
-	// changes behind, and one that is gets the state without a base.
+	// maxVersions is how many versions of the state are kept as bases for deltas. A node is rarely more than two changes
+	// behind; one that is gets the state without a base.
 	maxVersions = 3
-	// stateLinkShare is the share of a node's link that records may take, so that requests keep the rest, and
-	// handOnAhead how much of that is promised ahead. What a link carries is shared by all that it serves:
-	// more at once would delay the first without hastening the last. Those turned away go to the nodes that
-	// were served.
+	// stateLinkShare is the share of a node's link that state transfers may take, so that requests keep the rest, and
+	// stateMaxAhead how far transfers may be booked ahead. Concurrent transfers share the link: admitting more would
+	// delay the first without speeding up the last. Nodes that are turned away ask the nodes served before.
 	stateLinkShare              = 0.5
 	stateMaxAhead  clock.Millis = 100
-	// servedKept is how many nodes that were served are remembered.
+	// servedKept is how many served nodes are remembered.
 	servedKept = 64
-	// maxHoldersSent is how many of the nodes that were served are named to one that is turned away.
+	// maxHoldersSent is how many served nodes are named to a node that is turned away.
 	maxHoldersSent = 6
-	// maxDatagramRecordBytes is how many bytes of a packed record go by datagram to all nodes: one packet.
+	// maxDatagramRecordBytes is the size up to which a packed record is sent by datagram to all nodes: one packet.
 	maxDatagramRecordBytes = 1100
-	// maxInlineRecordBytes is up to how many bytes a record goes with a comparison, as it is.
+	// maxInlineRecordBytes is the size up to which a record is included unpacked in the response to a comparison.
 	maxInlineRecordBytes = 16 << 10
-	// maxRecord bounds a record that was packed, against a broken one.
+	// maxRecord limits the size of a decompressed record, as protection against a corrupt one.
 	maxRecord = 32 << 20
 )
 
-// errNoBase says that a record was packed against a version that this node does not hold.
+// errNoBase is returned for a record whose base version this node does not hold.
 var errNoBase = errors.New("record is packed against a version that is not held")
 
-// stateTransfer gives the newest version of the desired state to other nodes: as what has changed since the version
-// that they hold, and to a few at a time: whole to all that ask, it would fill this node's link for many seconds.
+// stateTransfer sends the newest desired state to other nodes, as a delta to the version that they hold, and to a few
+// at a time: sending the whole state to all that ask would fill this node's link for many seconds.
 type stateTransfer struct {
 	clock clock.Clock
 	link  *pacer.Pacer
-	// bytesPerMilli is what records may take of the link.
+	// bytesPerMilli is the part of the link's capacity that state transfers may take.
 	bytesPerMilli float64
 
 	mu sync.Mutex
-	// kept are the last versions, the newest last.
+	// kept are the last versions, oldest first.
 	kept []replica.Record
-	// packs are the newest one as it is sent to nodes that hold another, by that other's version.
+	// packs holds the newest version by the base version that it is encoded against, 0 for none.
 	packs map[uint64]*tlv1.Record
-	// served are the nodes that were given the newest one.
+	// served are the addresses of the nodes that have got the newest version.
 	served []string
 }
 
@@ -63,7 +62,7 @@
 // bytesPerMilliMbps is how many bytes a link of 1 Mbit/s carries in a millisecond.
 const bytesPerMilliMbps = 125
 
-// addVersion notes the version that this node holds now.
+// addVersion records the version that this node holds now.
 func (h *stateTransfer) addVersion(x replica.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +77,7 @@
 	h.served = nil
 }
 
-// encodeFor returns the encodeFor version, packed for a node that holds another one; nil if that is no older.
+// encodeFor returns the newest version, encoded for a node that holds another one, or nil if that is not older.
 func (h *stateTransfer) encodeFor(held uint64) (*tlv1.Record, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +104,7 @@
 	}, nil
 }
 
-// encodeDelta returns the newest version packed for nodes that hold the one before it; nil if there is none.
+// encodeDelta returns the newest version encoded against the one before it, or nil if there is none.
 func (h *stateTransfer) encodeDelta() (*tlv1.Record, error) {
 	h.mu.Lock()
 	n := len(h.kept)
@@ -127,7 +126,7 @@
 	return nil, false
 }
 
-// decode returns the value of a record that another node packed.
+// decode returns the value of a packed record from another node.
 func (h *stateTransfer) decode(x *tlv1.Record) (value []byte, err error) {
 	h.mu.Lock()
 	base, found := h.version(x.GetBase())
@@ -145,8 +144,7 @@
 	return value, nil
 }
 
-// admit says whether the node at the address may be handed so many bytes now. If not, holders are other nodes
-// to ask.
+// admit reports whether the node at the address may be sent so many bytes now. If not, holders are other nodes to ask.
 func (h *stateTransfer) admit(address string, bytes int) (admitted bool, holders []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
