--- a/node/pull.go
+++ b/node/pull.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	// maxSearches is how many nodes are asked for a record at a time; the second one only when the first has
-	// not ended after secondPull, so that one slow holder does not decide.
+	// maxSearches is how many nodes are asked for a record at a time. The second search starts only if the first has
+	// not finished within secondSearchDelay, so that one slow holder does not determine the delay.
 	maxSearches                    = 2
 	secondSearchDelay clock.Millis = 300
-	// minPullDelay is the least time, and the most that chance adds to it, before another node is asked after one
-	// that was busy: about what a node needs to have a record handed on to it.
+	// minPullDelay is the minimum delay, and pullDelayJitter the maximum random addition to it, before another node is
+	// asked after a busy one. Together they are about the time that a node needs to receive a record.
 	minPullDelay    clock.Millis = 30
 	pullDelayJitter clock.Millis = 70
-	// maxHolders is how many nodes are remembered to have a record.
+	// maxHolders is how many holders of a record are remembered.
 	maxHolders = 16
 )
 
-// pullLimits bounds a question for a record. An answer that keeps coming is not given up.
+// pullLimits limits a request for a record. A response that keeps arriving is cancelled only at Total.
 var pullLimits = stall.Limits{FirstByte: 800 * time.Millisecond, Idle: 800 * time.Millisecond, Total: 10 * time.Second}
 
-// uncompressed asks for answers as they are: records come packed.
+// uncompressed disables compression of responses, since records are compressed already.
 var uncompressed = connect.WithAcceptCompression("gzip", nil, nil)
 
-// puller gets a newer version of the desired state from nodes that hold it.
+// puller fetches newer versions of the desired state from nodes that hold them.
 type puller struct {
 	node *Node
 
 	mu sync.Mutex
-	// wantedVersion is the newest version that another node is known to hold, and holders are those that do.
+	// wantedVersion is the newest version that another node is known to hold, and holders are the addresses of such nodes.
 	wantedVersion uint64
 	holders       []string
-	// searches are the searches that go on.
+	// searches are those in progress.
 	searches []*search
 }
 
-// A search asks one holder after the other.
+// A search asks one holder after another.
 type search struct {
 	begun  clock.Millis
 	cancel context.CancelFunc
@@ -62,7 +62,7 @@
 	return p.node.records.sets[store.State].Newest()
 }
 
-// fetch notes that the node at the address holds a version, and asks for it if this node lacks it.
+// fetch notes that the node at the address holds a version, and starts a search for it if this node lacks it.
 func (p *puller) fetch(version uint64, address string) {
 	if version <= p.held() || address == "" {
 		return
@@ -83,7 +83,7 @@
 	go p.run(ctx, s, address)
 }
 
-// add remembers a holder.
+// add remembers a holder's address.
 func (p *puller) add(address string) {
 	if !slices.Contains(p.holders, address) && address != p.node.settings().Node.PeersAddress() {
 		p.holders = append(p.holders, address)
@@ -91,7 +91,7 @@
 	}
 }
 
-// run asks one holder after the other, until this node has what it wants or knows nobody to ask.
+// run asks one holder after another, until this node has the wanted version or there is no holder left to ask.
 func (p *puller) run(ctx context.Context, s *search, address string) {
 	defer p.end(s)
 	for address != "" && ctx.Err() == nil {
@@ -111,7 +111,7 @@
 	p.searches = slices.DeleteFunc(p.searches, func(x *search) bool { return x == s })
 }
 
-// cancelSearches ends all searches, once one has brought what is wanted.
+// cancelSearches cancels all searches once the wanted version is held.
 func (p *puller) cancelSearches() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// next returns a holder by chance, another than the last one if there is any; "" if nothing is wanted.
+// next returns a random holder, preferably another than the last one, or "" if there is none or nothing is wanted.
 func (p *puller) next(last string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +137,7 @@
 	return others[rand.IntN(len(others))]
 }
 
-// pullFrom asks one node, and says whether that brought this node further.
+// pullFrom asks one node, and reports whether that brought a newer version.
 func (p *puller) pullFrom(ctx context.Context, address string) bool {
 	n := p.node
 	held, begun := p.held(), n.clock.Now()
@@ -171,7 +171,7 @@
 	return true
 }
 
-// handleNoRecord takes in the word of a node that has no record to give: it hands on others, or holds nothing newer.
+// handleNoRecord handles a response without a record: the node is busy and names other holders, or holds nothing newer.
 func (p *puller) handleNoRecord(address string, res *tlv1.PullResponse) {
 	if !res.GetBusy() {
 		p.drop(address)
@@ -189,7 +189,7 @@
 	p.holders = slices.DeleteFunc(p.holders, func(a string) bool { return a == address })
 }
 
-// Pull implements the service that other nodes call.
+// Pull serves other nodes' requests for the newest desired state.
 func (p *peers) Pull(_ context.Context, req *connect.Request[tlv1.PullRequest]) (*connect.Response[tlv1.PullResponse], error) {
 	h := p.node.stateTransfer
 	x, err := h.encodeFor(req.Msg.GetHeld())
