--- a/node/compare_test.go
+++ b/node/compare_test.go
@@ -17,9 +17,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestManyCompareAtOnce has as many nodes as a third of 300 compare themselves with one small one at the same time, as
-// those do whose settings name it when they start. It gives all its targets to a few, whom the others can ask then, and
-// members and the desired state to all: what it does for others does not grow with how many ask.
+// TestManyCompareAtOnce has 100 nodes compare their records with those of one small node at the same time, as a third of
+// 300 nodes do at their start if their settings name it as a seed. It must send all its targets to a few only, whom the
+// others can ask then, and members and the desired state to all, so that its work does not grow with the number of requests.
 func TestManyCompareAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(t, 1, func(int) string { return "\n[capacity]\ncores = 0.16\nlink_mbps = 1000\n" })
@@ -62,11 +62,11 @@
 	took := time.Since(begun)
 	t.Logf("%d records given in %v", given, took)
 	is.Equal(answered, asking)
-	is.True(given >= targets)                                      // somebody has all
-	is.True(given <= targets*(2+int(took/(100*time.Millisecond)))) // one in a tenth of a second, and two at once
+	is.True(given >= targets)                                      // at least one node got all
+	is.True(given <= targets*(2+int(took/(100*time.Millisecond)))) // one per 0.1 s, and two at once
 }
 
-// BenchmarkCompare has a node give all its 3,000 targets to one that has none, which takes no part in the cost but reading.
+// BenchmarkCompare has a node send all its 3,000 targets to a client that holds none. The client only reads the response.
 func BenchmarkCompare(b *testing.B) {
 	f := newFleetWith(b, 1, func(int) string { return "\n[capacity]\ncores = 1000\n[log]\nlevel = \"warning\"\n" })
 	n := f.nodes[0]
@@ -87,8 +87,8 @@
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// TestFirstStateComesAfterItsTargets starts a node while the store is away, which gets all from another one. Requests wait
-// for its first state, and find the targets that came with it.
+// TestFirstStateComesAfterItsTargets starts a node while the store is unavailable, so that it gets its records from another
+// one. Requests wait for the first state, so the targets of the same response must be in use before it.
 func TestFirstStateComesAfterItsTargets(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -116,7 +116,7 @@
 				target = i
 			}
 		}
-		if strings.Contains(from, ":") { // by a comparison, in which both come
+		if strings.Contains(from, ":") { // from a comparison, which brings both
 			compared++
 			is.True(target < state)
 		}
