--- a/node/spread.go
+++ b/node/spread.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// maxParcelRecords and bytesPerParcel bound one datagram of records.
+	// maxParcelRecords and maxParcelBytes limit one datagram of records.
 	maxParcelRecords = 8
 	maxParcelBytes   = 4 << 10
-	// bulkRecords is how many records at once are asked for by those that lack them, packed, in place of being sent to each
-	// node one datagram after the other.
+	// bulkRecords is the number of records above which a change is not sent to each node in datagrams; nodes that lack the
+	// records fetch them as a pack.
 	bulkRecords = 128
-	// freshConfirmAge is the age up to which a hall's word of the store is fresh: two words of its watcher.
+	// freshConfirmAge is the age up to which the confirmation of a hall's watcher is fresh: two of its intervals.
 	freshConfirmAge = 2 * confirmEvery
-	// extraConfirms is how many more nodes a watcher tells of a large record, besides its own hall: each hall has a
-	// watcher of its own.
+	// extraConfirms is how many nodes besides its own hall a watcher tells of a large record. Each hall has a watcher of
+	// its own.
 	extraConfirms = 4
 )
 
-// broadcast tells this hall, and a few nodes of each other one, of records that the store had. A node that does not
-// watch tells of its sums alone: each hall has one that does, and if all that ask for themselves sent what they
-// find to all, a store that comes back would have as many copies sent as there are pairs of nodes.
+// broadcast sends records that were read from the store to this hall and to a few nodes of each other one. A node that
+// is not a watcher sends only its sums: each hall has a watcher, and if every node that queries the store itself sent what
+// it finds to all, a store that recovers would cause as many copies as there are pairs of nodes.
 func (d *duty) broadcast(k store.Kind, news []replica.Record) {
 	if k != store.State && len(news) > bulkRecords {
 		d.confirm()
@@ -40,21 +40,21 @@
 	d.tell(d.relays())
 }
 
-// forwardToHall tells this hall of records that another hall's watcher told this node of, if the hall has no fresh word of its
-// own: else its own watcher tells it, and each record would come once from each hall. The watcher itself tells of what it
-// hears so, since the store's answer brings it no news then.
+// forwardToHall sends records from another hall's watcher to this hall if the hall has no fresh confirmation from its own
+// watcher. Otherwise that watcher sends them, and forwarding would bring each record once from every hall. The watcher
+// itself always forwards, since the records are not new any more when the store's response brings them.
 func (d *duty) forwardToHall(k store.Kind, news []replica.Record) {
 	if k == store.State || !d.hasFreshConfirm(k) || d.rank() == 0 {
 		d.send(k, news, d.hallPeers())
 	}
 }
 
-// hasFreshConfirm says whether this hall's word of the store is so young that its watcher will tell of what is new.
+// hasFreshConfirm reports whether this hall's confirmation is so recent that its watcher will send what is new.
 func (d *duty) hasFreshConfirm(k store.Kind) bool {
 	return d.age(k) <= freshConfirmAge && d.hall.HeardWithin(freshConfirmAge)
 }
 
-// send sends records, and tells this hall of their sums.
+// send sends records to the addresses, and their sums to this hall.
 func (d *duty) send(k store.Kind, news []replica.Record, to []string) {
 	if k == store.State {
 		d.sendState(news, to)
@@ -65,7 +65,7 @@
 	d.confirmSoon()
 }
 
-// sendBatches sends records in parts of the size of a datagram. Large ones are asked for by those that lack them.
+// sendBatches sends records in batches of the size of a datagram. Nodes that lack larger ones fetch them.
 func (d *duty) sendBatches(k store.Kind, news []replica.Record, to []string) {
 	for part := range slices.Chunk(news, maxParcelRecords) {
 		size := 0
@@ -78,8 +78,8 @@
 	}
 }
 
-// sendState sends a small state, or what has changed if that is small. Of a large one it tells a few more nodes,
-// and those that lack it ask for it.
+// sendState sends the state, or its delta to the previous version, if that fits into a datagram. For a large one it sends
+// confirmations to a few more nodes, and nodes that lack it fetch it.
 func (d *duty) sendState(news []replica.Record, to []string) {
 	n := d.node
 	if len(news[0].Value) <= maxParcelBytes {
--- a/node/spread_heard_test.go
+++ b/node/spread_heard_test.go
@@ -9,9 +9,10 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestRecordsThatAnotherHallKnewFirstAreToldToTheHall has targets change one after the other, where the store answers one
-// hall later than the others. That hall's watcher has most records from another hall before its own answer brings them, and
-// took them for no news then: it told its hall of none, and each node of the hall found out by a comparison, for each change.
+// TestRecordsThatAnotherHallKnewFirstAreToldToTheHall changes targets one after the other while the store responds to one
+// hall later than to the others. That hall's watcher gets most records from another hall before its own response brings
+// them. It guards against the watcher taking them for known then and sending its hall none, so that each node of the hall
+// needed a comparison for each change.
 func TestRecordsThatAnotherHallKnewFirstAreToldToTheHall(t *testing.T) {
 	is := is.New(t)
 	const nodes, changes = 30, 40
@@ -36,5 +37,5 @@
 	}
 	compared := f.sum("tinladder_syncs_total") - before
 	t.Logf("%.0f comparisons for %d changes at %d nodes", compared, changes, nodes)
-	is.True(compared <= nodes) // one a node and minute is usual; a change is told by datagram
+	is.True(compared <= nodes) // one per node and minute is usual; changes are sent by datagram
 }
--- a/node/spread_test.go
+++ b/node/spread_test.go
@@ -13,7 +13,7 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// sum adds a metric up over all nodes, with the labels given or all.
+// sum returns the sum of a metric over all nodes, with the labels in name or with any if it has none.
 func (f *fleet) sum(name string) (total float64) {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -22,7 +22,7 @@
 	return total
 }
 
-// sumPrefix adds all metrics up whose name and labels begin so, of all nodes.
+// sumPrefix returns the sum over all nodes of the metrics whose name and labels begin with the prefix.
 func (f *fleet) sumPrefix(prefix string) (total float64) {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -42,7 +42,7 @@
 	return total
 }
 
-// sumOf adds a metric of one node up.
+// sumOf returns the sum of a metric of one node, as sum does.
 func (f *fleet) sumOf(n *testNode, name string) (total float64) {
 	f.t.Helper()
 	res, err := f.http.Get("http://" + n.metrics)
@@ -60,13 +60,12 @@
 	return total
 }
 
-// Symptom: 127 to 448 MB a day went between halls, the dearest price of a fleet of 291 nodes. Cause: each hall's
-// watcher told all nodes of all halls of each record, and so did, once a store was back, each node that had asked
-// for itself. Settled by: bytes by kind of message and hall (event=traffic).
-
-// TestRecordsGoBetweenHallsOnce has 48 targets come at once in a fleet of 30 nodes in three halls. A watcher tells four
-// nodes of other halls of each, not all twenty. How many of the three watchers tell of it depends on who hears of it
+// TestRecordsGoBetweenHallsOnce adds 48 targets at once to a fleet of 30 nodes in three halls. A watcher sends each record
+// to four nodes of other halls, not to all twenty. How many of the three watchers send it depends on who learns of it
 // first, so the bound is between three times four and once twenty.
+//
+// It guards against watchers sending each record to all nodes of all halls, and against every node that queried the store
+// itself doing so once the store is back: that caused 127 to 448 MB a day between the halls of a fleet of 291 nodes.
 func TestRecordsGoBetweenHallsOnce(t *testing.T) {
 	is := is.New(t)
 	const nodes, count, most = 30, 48, 16
@@ -88,7 +87,7 @@
 	is.True(copies < most)
 }
 
-// recordBytes is about what a record of a target is in a datagram with others.
+// recordBytes is the approximate size of a target's record in a datagram with others.
 const recordBytes = 50
 
 // targetCount returns how many targets the node knows.
@@ -96,8 +95,8 @@
 	return int(f.sumOf(n, "tinladder_targets"))
 }
 
-// TestStoreIsAskedLittleWhileAway counts the calls of a fleet of 18 nodes while the store turns all away for 6 s, and
-// looks how soon a change is in force after.
+// TestStoreIsAskedLittleWhileAway limits the calls of 18 nodes while the store rejects all of them for 6 s, and the time
+// that a change takes afterwards.
 func TestStoreIsAskedLittleWhileAway(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 18)
@@ -123,7 +122,7 @@
 }
 
 // TestLoadOfATargetGoesToItsHall has a node of one hall send requests to a target of another one. The third hall, which
-// does not need to know each of them, must not be told of each.
+// does not need to know of each request, must not get a report for each.
 func TestLoadOfATargetGoesToItsHall(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 9)
@@ -139,5 +138,5 @@
 	sent := (f.sum(name) - before) / count
 	t.Logf("%.0f bytes of reports a request went between halls", sent)
 	is.True(sent > 0)
-	is.True(sent < 200) // 270 if the third hall is told at once too
+	is.True(sent < 200) // 270 if the third hall gets reports at once too
 }
