--- a/node/lag.go
+++ b/node/lag.go
@@ -8,7 +8,7 @@
 	"github.com/tinladder/tinladder/store"
 )
 
-// lagTracker knows since when this node lacks records that others hold.
+// lagTracker tracks since when this node has lacked records that others hold.
 type lagTracker struct {
 	node *Node
 
@@ -16,7 +16,7 @@
 	gaps map[store.Kind]versionGap
 }
 
-// versionGap says that another node holds a version that this one lacks, and since when that is known.
+// A versionGap is the newest version that another node is known to hold and this one lacks, and since when one is lacking.
 type versionGap struct {
 	newest uint64
 	since  clock.Millis
@@ -48,7 +48,7 @@
 	}
 }
 
-// markCaughtUp notes that the version is in force here, or cannot be, and returns how long this node has been behind.
+// markCaughtUp notes that the version is in force or was rejected, and returns how long this node has been behind.
 func (l *lagTracker) markCaughtUp(k store.Kind, version uint64) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +62,7 @@
 	return l.node.clock.Now() - m.since
 }
 
-// behind returns how long this node has been behind; 0 if it is not.
+// behind returns how long this node has been behind, or 0 if it is not.
 func (l *lagTracker) behind(k store.Kind) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,7 @@
 	return l.node.clock.Now() - m.since
 }
 
-// isBehind says whether another node is known to hold a newer version than is in force here.
+// isBehind reports whether another node is known to hold a newer version than is in force here.
 func (l *lagTracker) isBehind(k store.Kind) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
