--- a/node/known.go
+++ b/node/known.go
@@ -7,10 +7,11 @@
 	tlv1 "github.com/tinladder/tinladder/schema/tinladder/v1"
 )
 
-// memberHashBytes is the size of a member's hash: of 1,000 members one in 4 million is taken for another, and heard of by gossip.
+// memberHashBytes is the size of a member's hash. Among 1,000 members, one in 4 million collides and is then learned by
+// gossip instead.
 const memberHashBytes = 4
 
-// memberHash tells what a node knows of a member apart from other things that it may know: its process and how it is.
+// memberHash hashes a member's identity and state, so that nodes can compare what they know of it.
 func memberHash(m *tlv1.Member) uint32 {
 	x := xxhash.New()
 	_, _ = x.WriteString(m.GetNode())
@@ -24,7 +25,7 @@
 	return uint32(x.Sum64())
 }
 
-// memberHashes returns the memberHashes of the members.
+// memberHashes returns the concatenated hashes of the members.
 func memberHashes(members []*tlv1.Member) (list []byte) {
 	for _, m := range members {
 		list = binary.LittleEndian.AppendUint32(list, memberHash(m))
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -18,8 +18,8 @@
 	sizeRequests = flag.Int("size.requests", 200, "how many requests a second, over all nodes")
 )
 
-// TestMeasureSize runs a fleet of small nodes before many targets, of which some change now and then, and asks little
-// of it. What it costs is seen by the profile of the test.
+// TestMeasureSize runs a fleet of small nodes with many targets, some of which change now and then, under light load. It
+// is run with a profile, which shows the cost.
 func TestMeasureSize(t *testing.T) {
 	if !*measureSize {
 		t.Skip("a measurement; run with -size -cpuprofile cpu.out")
@@ -70,7 +70,7 @@
 	t.Logf("bytes between halls by kind of message: %v", f.farBytes())
 }
 
-// farBytes sums what the nodes sent to other halls, by kind of message.
+// farBytes returns how many bytes the nodes sent to other halls, by kind of message.
 func (f *fleet) farBytes() map[string]int {
 	sums := map[string]int{}
 	for _, n := range f.nodes {
