--- a/node/handon.go
+++ b/node/handon.go
@@ -31,8 +31,8 @@
 	maxDatagramRecordBytes = 1100
 	// maxInlineRecordBytes is the size up to which a record is included unpacked in the response to a comparison.
 	maxInlineRecordBytes = 16 << 10
-	// maxRecord limits the size of a decompressed record, as protection against a corrupt one.
-	maxRecord = 32 << 20
+	// maxRecordBytes limits the size of a decompressed record, as protection against a corrupt one.
+	maxRecordBytes = 32 << 20
 )
 
 // errNoBase is returned for a record whose base version this node does not hold.
@@ -47,16 +47,16 @@
 	bytesPerMilli float64
 
 	mu sync.Mutex
-	// kept are the last versions, oldest first.
-	kept []replica.Record
-	// packs holds the newest version by the base version that it is encoded against, 0 for none.
-	packs map[uint64]*tlv1.Record
+	// versions are the last versions, oldest first.
+	versions []replica.Record
+	// encoded holds the newest version by the base version that it is encoded against, 0 for none.
+	encoded map[uint64]*tlv1.Record
 	// served are the addresses of the nodes that have got the newest version.
 	served []string
 }
 
 func newStateTransfer(c clock.Clock, linkMbps float64) *stateTransfer {
-	return &stateTransfer{clock: c, link: pacer.New(c, stateMaxAhead), bytesPerMilli: linkMbps * bytesPerMilliMbps * stateLinkShare, packs: map[uint64]*tlv1.Record{}}
+	return &stateTransfer{clock: c, link: pacer.New(c, stateMaxAhead), bytesPerMilli: linkMbps * bytesPerMilliMbps * stateLinkShare, encoded: map[uint64]*tlv1.Record{}}
 }
 
 // bytesPerMilliMbps is how many bytes a link of 1 Mbit/s carries in a millisecond.
@@ -66,14 +66,14 @@
 func (h *stateTransfer) addVersion(x replica.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n := len(h.kept); n > 0 && h.kept[n-1].Version >= x.Version {
+	if n := len(h.versions); n > 0 && h.versions[n-1].Version >= x.Version {
 		return
 	}
-	h.kept = append(h.kept, x)
-	if len(h.kept) > maxVersions {
-		h.kept = slices.Delete(h.kept, 0, 1)
+	h.versions = append(h.versions, x)
+	if len(h.versions) > maxVersions {
+		h.versions = slices.Delete(h.versions, 0, 1)
 	}
-	clear(h.packs)
+	clear(h.encoded)
 	h.served = nil
 }
 
@@ -81,22 +81,22 @@
 func (h *stateTransfer) encodeFor(held uint64) (*tlv1.Record, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.kept) == 0 || h.kept[len(h.kept)-1].Version <= held {
+	if len(h.versions) == 0 || h.versions[len(h.versions)-1].Version <= held {
 		return nil, nil
 	}
-	x := h.kept[len(h.kept)-1]
-	base, found := h.version(held)
+	x := h.versions[len(h.versions)-1]
+	base, found := h.valueAt(held)
 	if !found {
 		held = 0
 	}
-	packed := h.packs[held]
+	packed := h.encoded[held]
 	if packed == nil {
 		raw, err := delta.Pack(base, x.Value)
 		if err != nil {
 			return nil, err
 		}
 		packed = &tlv1.Record{Key: x.Key, Version: x.Version, Packed: raw, Base: held, Check: xxhash.Sum64(x.Value)}
-		h.packs[held] = packed
+		h.encoded[held] = packed
 	}
 	return &tlv1.Record{
 		Key: packed.Key, Version: packed.Version, Packed: packed.Packed, Base: packed.Base, Check: packed.Check,
@@ -107,18 +107,18 @@
 // encodeDelta returns the newest version encoded against the one before it, or nil if there is none.
 func (h *stateTransfer) encodeDelta() (*tlv1.Record, error) {
 	h.mu.Lock()
-	n := len(h.kept)
+	n := len(h.versions)
 	if n < 2 {
 		h.mu.Unlock()
 		return nil, nil
 	}
-	before := h.kept[n-2].Version
+	before := h.versions[n-2].Version
 	h.mu.Unlock()
 	return h.encodeFor(before)
 }
 
-func (h *stateTransfer) version(v uint64) (value []byte, found bool) {
-	for _, x := range h.kept {
+func (h *stateTransfer) valueAt(v uint64) (value []byte, found bool) {
+	for _, x := range h.versions {
 		if x.Version == v {
 			return x.Value, true
 		}
@@ -129,12 +129,12 @@
 // decode returns the value of a packed record from another node.
 func (h *stateTransfer) decode(x *tlv1.Record) (value []byte, err error) {
 	h.mu.Lock()
-	base, found := h.version(x.GetBase())
+	base, found := h.valueAt(x.GetBase())
 	h.mu.Unlock()
 	if !found && x.GetBase() != 0 {
 		return nil, errNoBase
 	}
-	value, err = delta.Unpack(base, x.GetPacked(), maxRecord)
+	value, err = delta.Unpack(base, x.GetPacked(), maxRecordBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/node/packs.go
+++ b/node/packs.go
@@ -24,8 +24,8 @@
 	// packRetention is how long packs are kept, and maxSnapshots how many earlier sets of a kind are remembered.
 	packRetention = 10 * clock.Second
 	maxSnapshots  = 32
-	// maxPack limits the size of a decompressed pack, as protection against a corrupt one.
-	maxPack = 64 << 20
+	// maxPackBytes limits the size of a decompressed pack, as protection against a corrupt one.
+	maxPackBytes = 64 << 20
 	// packSpeedup is how many times less processor time a cached pack takes than a response that is built.
 	packSpeedup = 10
 )
@@ -36,8 +36,8 @@
 	node *Node
 
 	mu sync.Mutex
-	// made holds the packs by their content, and snapshots the sets that this node held recently, oldest first.
-	made      map[packKey]pack
+	// cache holds the packs by their content, and snapshots the sets that this node held recently, oldest first.
+	cache     map[packKey]pack
 	snapshots map[store.Kind][]snapshot
 }
 
@@ -61,7 +61,7 @@
 }
 
 func newPacks(n *Node) *packs {
-	return &packs{node: n, made: map[packKey]pack{}, snapshots: map[store.Kind][]snapshot{}}
+	return &packs{node: n, cache: map[packKey]pack{}, snapshots: map[store.Kind][]snapshot{}}
 }
 
 // addSnapshot notes the set that this node holds of a kind.
@@ -103,16 +103,16 @@
 	return after, float64(differ) > packDiffShare*float64(len(mine))
 }
 
-// ready returns a cached pack, if there is one that is recent enough to be sent.
-func (p *packs) ready(key packKey) (x pack, found bool) {
+// cached returns a cached pack, if there is one that is recent enough to be sent.
+func (p *packs) cached(key packKey) (x pack, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x, found = p.made[key]
+	x, found = p.cache[key]
 	return x, found && (x.sum == p.node.records.sets[key.kind].Sum() || p.node.clock.Now()-x.madeAt < packMaxAge)
 }
 
-// make builds and caches a pack, and returns its uncompressed size. It removes expired packs of the same kind.
-func (p *packs) make(key packKey) (x pack, bytes int, err error) {
+// build builds and caches a pack, and returns its uncompressed size. It removes expired packs of the same kind.
+func (p *packs) build(key packKey) (x pack, bytes int, err error) {
 	now := p.node.clock.Now()
 	set := p.node.records.sets[key.kind]
 	x = pack{sum: set.Sum(), madeAt: now}
@@ -124,8 +124,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.made, func(k packKey, old pack) bool { return k.kind == key.kind && now-old.madeAt > packRetention })
-	p.made[key] = x
+	maps.DeleteFunc(p.cache, func(k packKey, old pack) bool { return k.kind == key.kind && now-old.madeAt > packRetention })
+	p.cache[key] = x
 	return x, bytes, nil
 }
 
@@ -147,7 +147,7 @@
 // decompressResponse returns the response in a pack, with the ages of its records advanced by the pack's age.
 func decompressResponse(p *tlv1.Pack) (res *tlv1.SyncResponse, err error) {
 	defer func() { err = errors.Wrap(err, "unpack answer") }()
-	raw, err := delta.Unpack(nil, p.GetAnswer(), maxPack)
+	raw, err := delta.Unpack(nil, p.GetAnswer(), maxPackBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -188,11 +188,11 @@
 		return nil
 	}
 	n.compares.give(func() (made, sent int) {
-		x, found := n.packs.ready(key)
+		x, found := n.packs.cached(key)
 		made = len(x.answer) / packSpeedup
 		if !found {
 			var err error
-			if x, made, err = n.packs.make(key); err != nil {
+			if x, made, err = n.packs.build(key); err != nil {
 				n.log.WithFields(logrus.Fields{"event": "records_not_packed", "kind": key.kind, "error": err}).Error()
 				return made, 0
 			}
--- a/node/pull.go
+++ b/node/pull.go
@@ -72,7 +72,7 @@
 	if version > p.wantedVersion {
 		p.wantedVersion, p.holders = version, nil
 	}
-	p.add(address)
+	p.addHolder(address)
 	now := p.node.clock.Now()
 	if len(p.searches) >= maxSearches || slices.ContainsFunc(p.searches, func(s *search) bool { return now-s.begun < secondSearchDelay }) {
 		return
@@ -83,8 +83,8 @@
 	go p.run(ctx, s, address)
 }
 
-// add remembers a holder's address.
-func (p *puller) add(address string) {
+// addHolder remembers a holder's address.
+func (p *puller) addHolder(address string) {
 	if !slices.Contains(p.holders, address) && address != p.node.settings().Node.PeersAddress() {
 		p.holders = append(p.holders, address)
 		p.holders = p.holders[max(0, len(p.holders)-maxHolders):]
@@ -93,18 +93,18 @@
 
 // run asks one holder after another, until this node has the wanted version or there is no holder left to ask.
 func (p *puller) run(ctx context.Context, s *search, address string) {
-	defer p.end(s)
+	defer p.endSearch(s)
 	for address != "" && ctx.Err() == nil {
 		if p.pullFrom(ctx, address) {
 			p.cancelSearches()
 		} else {
 			pause(ctx, minPullDelay+rand.N(pullDelayJitter))
 		}
-		address = p.next(address)
+		address = p.nextHolder(address)
 	}
 }
 
-func (p *puller) end(s *search) {
+func (p *puller) endSearch(s *search) {
 	s.cancel()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +123,8 @@
 	}
 }
 
-// next returns a random holder, preferably another than the last one, or "" if there is none or nothing is wanted.
-func (p *puller) next(last string) string {
+// nextHolder returns a random holder, preferably another than the last one, or "" if there is none or nothing is wanted.
+func (p *puller) nextHolder(last string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.wantedVersion <= p.held() || len(p.holders) == 0 {
@@ -155,7 +155,7 @@
 				"error": err, "cause": context.Cause(ctx),
 			}).Info()
 		}
-		p.drop(address)
+		p.removeHolder(address)
 		return false
 	}
 	x := res.Msg.GetRecord()
@@ -165,7 +165,7 @@
 	}
 	n.records.receive(&tlv1.Records{Kind: string(store.State), Records: []*tlv1.Record{x}}, address)
 	if p.held() <= held {
-		p.drop(address)
+		p.removeHolder(address)
 		return false
 	}
 	return true
@@ -174,16 +174,16 @@
 // handleNoRecord handles a response without a record: the node is busy and names other holders, or holds nothing newer.
 func (p *puller) handleNoRecord(address string, res *tlv1.PullResponse) {
 	if !res.GetBusy() {
-		p.drop(address)
+		p.removeHolder(address)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range res.GetHolders() {
-		p.add(a)
+		p.addHolder(a)
 	}
 }
 
-func (p *puller) drop(address string) {
+func (p *puller) removeHolder(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holders = slices.DeleteFunc(p.holders, func(a string) bool { return a == address })
--- a/node/spread.go
+++ b/node/spread.go
@@ -26,8 +26,8 @@
 // broadcast sends records that were read from the store to this hall and to a few nodes of each other one. A node that
 // is not a watcher sends only its sums: each hall has a watcher, and if every node that queries the store itself sent what
 // it finds to all, a store that recovers would cause as many copies as there are pairs of nodes.
-func (d *duty) broadcast(k store.Kind, news []replica.Record) {
-	if k != store.State && len(news) > bulkRecords {
+func (d *duty) broadcast(k store.Kind, changed []replica.Record) {
+	if k != store.State && len(changed) > bulkRecords {
 		d.confirm()
 		d.tell(d.relays())
 		return
@@ -36,16 +36,16 @@
 		d.confirm()
 		return
 	}
-	d.send(k, news, append(d.hallPeers(), d.relays()...))
+	d.send(k, changed, append(d.hallPeers(), d.relays()...))
 	d.tell(d.relays())
 }
 
 // forwardToHall sends records from another hall's watcher to this hall if the hall has no fresh confirmation from its own
 // watcher. Otherwise that watcher sends them, and forwarding would bring each record once from every hall. The watcher
 // itself always forwards, since the records are not new any more when the store's response brings them.
-func (d *duty) forwardToHall(k store.Kind, news []replica.Record) {
+func (d *duty) forwardToHall(k store.Kind, changed []replica.Record) {
 	if k == store.State || !d.hasFreshConfirm(k) || d.rank() == 0 {
-		d.send(k, news, d.hallPeers())
+		d.send(k, changed, d.hallPeers())
 	}
 }
 
@@ -55,19 +55,19 @@
 }
 
 // send sends records to the addresses, and their sums to this hall.
-func (d *duty) send(k store.Kind, news []replica.Record, to []string) {
+func (d *duty) send(k store.Kind, changed []replica.Record, to []string) {
 	if k == store.State {
-		d.sendState(news, to)
+		d.sendState(changed, to)
 		d.confirm()
 		return
 	}
-	d.sendBatches(k, news, to)
+	d.sendBatches(k, changed, to)
 	d.confirmSoon()
 }
 
 // sendBatches sends records in batches of the size of a datagram. Nodes that lack larger ones fetch them.
-func (d *duty) sendBatches(k store.Kind, news []replica.Record, to []string) {
-	for part := range slices.Chunk(news, maxParcelRecords) {
+func (d *duty) sendBatches(k store.Kind, changed []replica.Record, to []string) {
+	for part := range slices.Chunk(changed, maxParcelRecords) {
 		size := 0
 		for _, r := range part {
 			size += len(r.Value)
@@ -80,10 +80,10 @@
 
 // sendState sends the state, or its delta to the previous version, if that fits into a datagram. For a large one it sends
 // confirmations to a few more nodes, and nodes that lack it fetch it.
-func (d *duty) sendState(news []replica.Record, to []string) {
+func (d *duty) sendState(changed []replica.Record, to []string) {
 	n := d.node
-	if len(news[0].Value) <= maxParcelBytes {
-		d.sendRecords(n.records.toWire(store.State, news), to)
+	if len(changed[0].Value) <= maxParcelBytes {
+		d.sendRecords(n.records.toWire(store.State, changed), to)
 		return
 	}
 	x, err := n.stateTransfer.encodeDelta()
