--- a/node/book.go
+++ b/node/book.go
@@ -19,22 +19,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A book is the fleet's own documents, ready for use: workspaces, their services and routes. It is
-// never changed.
-type book struct {
+// A documentIndex holds the documents written through the operators' interface by workspace and service. It is immutable.
+type documentIndex struct {
 	workspaces map[ident.Workspace]*workspace
 	services   map[string]*tlv1.Document
-	// evacuated are the halls whose targets are to get nothing.
+	// evacuated are the halls whose targets get no requests.
 	evacuated map[ident.Hall]bool
 }
 
-// A workspace is one customer's tokens and routes.
+// A workspace holds the document and the routes of one customer.
 type workspace struct {
 	doc    *tlv1.Workspace
 	routes []*ownRoute
 }
 
-// An ownRoute is a route of the fleet's own documents.
+// An ownRoute is a route defined by a service's document, as opposed to one of the platform's desired state.
 type ownRoute struct {
 	*desired.Route
 	service     ident.Service
@@ -42,10 +41,9 @@
 	keyOptional bool
 }
 
-// newBook returns the documents' book. Documents that make no sense were refused when they were
-// written, and are left out here.
-func newBook(list []replica.Record) *book {
-	b := &book{workspaces: map[ident.Workspace]*workspace{}, services: map[string]*tlv1.Document{}, evacuated: map[ident.Hall]bool{}}
+// newDocumentIndex indexes the documents. Invalid ones were refused when they were written, and are skipped here.
+func newDocumentIndex(list []replica.Record) *documentIndex {
+	b := &documentIndex{workspaces: map[ident.Workspace]*workspace{}, services: map[string]*tlv1.Document{}, evacuated: map[ident.Hall]bool{}}
 	for _, x := range list {
 		d := &tlv1.Document{}
 		if proto.Unmarshal(x.Value, d) != nil {
@@ -62,7 +60,7 @@
 	return b
 }
 
-func (b *book) workspace(name ident.Workspace) *workspace {
+func (b *documentIndex) workspace(name ident.Workspace) *workspace {
 	w := b.workspaces[name]
 	if w == nil {
 		w = &workspace{}
@@ -71,7 +69,7 @@
 	return w
 }
 
-func (b *book) add(d *tlv1.Document) {
+func (b *documentIndex) add(d *tlv1.Document) {
 	if w := d.GetWorkspace(); w != nil {
 		b.workspace(ident.Workspace(w.GetName())).doc = w
 		return
@@ -92,8 +90,8 @@
 	}
 }
 
-// aimShare is the part of an own route's deadline within which answers are wanted, one in so many.
-const aimShare = 4
+// objectiveDivisor derives the latency objective of an own route: its deadline divided by this.
+const objectiveDivisor = 4
 
 func newOwnRoute(s ident.Service, i int, r *tlv1.Route) *ownRoute {
 	deadline := clock.Millis(r.GetDeadlineMs())
@@ -104,15 +102,14 @@
 		service: s, methods: r.GetMethods(), keyOptional: r.GetKeyOptional(),
 		Route: &desired.Route{
 			Name: fmt.Sprintf("%s#%d", s, i), Host: strings.ToLower(r.GetHost()), Prefix: r.GetPathPrefix(),
-			Repeatable: r.GetRepeat() == tlv1.Repeat_REPEAT_ALLOWED, Timeout: deadline, Objective: deadline / aimShare,
+			Repeatable: r.GetRepeat() == tlv1.Repeat_REPEAT_ALLOWED, Timeout: deadline, Objective: deadline / objectiveDivisor,
 			MaxAttempts: int(r.GetRetries()) + 1, Backends: []desired.Backend{{Service: s.String(), Weight: 1}},
 		},
 	}
 }
 
-// moreSpecific puts routes with a host before those without, longer prefixes before shorter ones,
-// and routes with methods before those for all. The rest goes by name, so that all nodes choose
-// alike.
+// moreSpecific sorts routes with a host before those without, longer prefixes before shorter ones, and routes with
+// methods before those for all. Ties are broken by name, so that all nodes choose alike.
 func moreSpecific(a, b *ownRoute) int {
 	return cmp.Or(
 		cmp.Compare(len(b.Host), len(a.Host)),
@@ -122,16 +119,16 @@
 	)
 }
 
-// route returns the workspace's route for the request, of the named service if there is a name. Twice says that a target
-// may read the path as another route's.
-func (w *workspace) route(r *http.Request, service string) (found *ownRoute, twice bool) {
+// route returns the workspace's route for the request, restricted to the named service if service is not empty. It
+// reports ambiguous if a target that normalizes the path differently may take it for another route's.
+func (w *workspace) route(r *http.Request, service string) (found *ownRoute, ambiguous bool) {
 	path := r.URL.EscapedPath()
 	found = w.find(r, path, service)
 	resolved := reading.NormalizePath(r.RequestURI)
 	return found, resolved != path && w.find(r, resolved, service) != found
 }
 
-// find returns the workspace's route for the request at the path, of the named service if there is a name.
+// find returns the first route that matches the request at the path, of the named service if service is not empty.
 func (w *workspace) find(r *http.Request, path, service string) *ownRoute {
 	for _, o := range w.routes {
 		switch {
@@ -146,7 +143,7 @@
 	return nil
 }
 
-// concurrency is the workspace's share of one node's requests.
+// concurrency returns how many requests of the workspace one node runs at the same time.
 func (w *workspace) concurrency() int {
 	if n := w.doc.GetConcurrency(); n > 0 {
 		return int(n)
@@ -154,16 +151,16 @@
 	return config.DefaultConcurrency
 }
 
-// nodes is how many nodes the service's document asks for; 0 if it has none.
-func (b *book) nodes(service string) int {
+// requestedNodes returns how many nodes the service's document asks for, or 0 if it has none.
+func (b *documentIndex) requestedNodes(service string) int {
 	if d := b.services[service]; d != nil {
 		return config.Nodes(d.GetService())
 	}
 	return 0
 }
 
-// targets returns the targets of all own services.
-func (b *book) targets() []target {
+// targets returns the targets that are listed in documents of services.
+func (b *documentIndex) targets() []target {
 	var list []target
 	for name, d := range b.services {
 		for _, t := range d.GetService().GetTargets() {
@@ -176,13 +173,13 @@
 	return list
 }
 
-// workspaceOf returns the workspace that a token claims. Its hash is still to be checked.
-func workspaceOf(token string) (ident.Workspace, bool) {
+// tokenWorkspace returns the workspace named in a token. The token itself is still to be verified.
+func tokenWorkspace(token string) (ident.Workspace, bool) {
 	name, _, found := strings.Cut(token, ".")
 	return ident.Workspace(name), found && ident.CheckName(name) == nil
 }
 
-// tokenIn says whether the token's hash is among those, in a time that does not tell which.
+// tokenIn reports whether the token's hash is among the hashes. It compares with all of them in constant time.
 func tokenIn(hashes [][]byte, token string) bool {
 	sum := sha256.Sum256([]byte(token))
 	found := 0
@@ -192,8 +189,9 @@
 	return found == 1
 }
 
-// serviceNamed returns the name of the service that the request names, within the workspace.
-func serviceNamed(s string, w ident.Workspace) (string, bool) {
+// parseServiceName returns the service that the request names as NAME or WORKSPACE/NAME, and whether that is a valid name
+// within the workspace.
+func parseServiceName(s string, w ident.Workspace) (string, bool) {
 	if s == "" {
 		return "", true
 	}
--- a/node/confirm.go
+++ b/node/confirm.go
@@ -150,7 +150,7 @@
 		}
 		set := d.node.records.sets[k]
 		s.Sum, s.Newest = set.State()
-		d.node.packs.hold(k, s.Sum, s.Newest)
+		d.node.packs.addSnapshot(k, s.Sum, s.Newest)
 		list = append(list, s)
 	}
 	return list
@@ -231,17 +231,17 @@
 		if !slices.Contains(d.node.allKinds(), k) {
 			continue
 		}
-		d.node.lag.heard(k, s.GetNewest(), address)
+		d.node.lag.observe(k, s.GetNewest(), address)
 		if set := d.node.records.sets[k]; set.Sum() != s.GetSum() {
 			if k == store.State {
-				d.node.pulls.want(s.GetNewest(), address)
+				d.node.puller.fetch(s.GetNewest(), address)
 			} else if (!far || s.GetNewest() >= set.Newest()) && d.noteMismatch(k, s.GetNewest()) {
 				same = false
 			}
 			continue
 		}
 		d.noteMatch(k, s.GetNewest())
-		if k == store.State && d.node.records.readable() {
+		if k == store.State && d.node.records.hasNewestState() {
 			d.proof.Merge(clock.Millis(s.GetProved()), now)
 		}
 		if s.GetAgeMs() == neverConfirmed {
--- a/node/duty.go
+++ b/node/duty.go
@@ -294,7 +294,7 @@
 	at = n.clock.Now()
 	d.logSlowRead(k, m, r, at-sent, err)
 	if err == nil && r.Clock > 0 {
-		d.proof.ObserveStore(sent, at, r.Clock, k == store.State && n.records.readable())
+		d.proof.ObserveStore(sent, at, r.Clock, k == store.State && n.records.hasNewestState())
 	}
 	if err != nil {
 		return r.Cursor, at, err
@@ -305,7 +305,7 @@
 	if len(news) == 0 {
 		return r.Cursor, at, nil
 	}
-	d.spread(k, news)
+	d.broadcast(k, news)
 	sleep(ctx, batchDelay)
 	return r.Cursor, at, nil
 }
@@ -318,7 +318,7 @@
 // spreadNews distributes records of further kinds.
 func (d *duty) spreadNews(k store.Kind, news []replica.Record) {
 	if len(news) > 0 {
-		d.spread(k, news)
+		d.broadcast(k, news)
 	}
 }
 
--- a/node/front.go
+++ b/node/front.go
@@ -68,7 +68,7 @@
 func (n *Node) platformExchange(w http.ResponseWriter, r *http.Request) (*exchange, *Problem) {
 	t := n.records.await(r)
 	if t == nil {
-		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyRetryAfter, Detail: n.records.missing()}
+		return nil, &Problem{Status: http.StatusServiceUnavailable, RetryAfter: notReadyRetryAfter, Detail: n.records.noStateReason()}
 	}
 	route, problem := routeFor(t, r)
 	if problem != nil && problem.Status == http.StatusNotFound && n.mayBeOutdated(t) {
@@ -101,7 +101,7 @@
 // isOutdated reports whether there is a newer desired state than t: another node is known to hold one, or this node
 // loaded one since the request began.
 func (n *Node) isOutdated(t *desired.Table) bool {
-	return n.lag.lacks(store.State) || n.records.table.Load() != t
+	return n.lag.isBehind(store.State) || n.records.table.Load() != t
 }
 
 // mayBeOutdated reports whether a newer desired state than t may already have to be in force here: there is one, or the
@@ -226,7 +226,7 @@
 	case n.accessExpiring():
 		return "no word of the store on the keys that hold"
 	case n.records.table.Load() == nil && n.settings().Node.Operators == "":
-		return n.records.missing()
+		return n.records.noStateReason()
 	}
 	return ""
 }
--- a/node/handon.go
+++ b/node/handon.go
@@ -15,89 +15,88 @@
 )
 
 const (
-	// keptVersions is how many versions of the state are kept to pack against: a node is rarely more than two
-	// changes behind, and one that is gets the state without a base.
-	keptVersions = 3
-	// handOnShare is the share of a node's link that records may take, so that requests keep the rest, and
-	// handOnAhead how much of that is promised ahead. What a link carries is shared by all that it serves:
-	// more at once would delay the first without hastening the last. Those turned away go to the nodes that
-	// were served.
-	handOnShare              = 0.5
-	handOnAhead clock.Millis = 100
-	// servedKept is how many nodes that were served are remembered.
+	// maxVersions is how many versions of the state are kept as bases for deltas. A node is rarely more than two changes
+	// behind; one that is gets the state without a base.
+	maxVersions = 3
+	// stateLinkShare is the share of a node's link that state transfers may take, so that requests keep the rest, and
+	// stateMaxAhead how far transfers may be booked ahead. Concurrent transfers share the link: admitting more would
+	// delay the first without speeding up the last. Nodes that are turned away ask the nodes served before.
+	stateLinkShare              = 0.5
+	stateMaxAhead  clock.Millis = 100
+	// servedKept is how many served nodes are remembered.
 	servedKept = 64
-	// holdersTold is how many of the nodes that were served are named to one that is turned away.
-	holdersTold = 6
-	// smallRecord is how many bytes of a packed record go by datagram to all nodes: one packet.
-	smallRecord = 1100
-	// wholeRecord is up to how many bytes a record goes with a comparison, as it is.
-	wholeRecord = 16 << 10
-	// maxRecord bounds a record that was packed, against a broken one.
-	maxRecord = 32 << 20
+	// maxHoldersSent is how many served nodes are named to a node that is turned away.
+	maxHoldersSent = 6
+	// maxDatagramRecordBytes is the size up to which a packed record is sent by datagram to all nodes: one packet.
+	maxDatagramRecordBytes = 1100
+	// maxInlineRecordBytes is the size up to which a record is included unpacked in the response to a comparison.
+	maxInlineRecordBytes = 16 << 10
+	// maxRecordBytes limits the size of a decompressed record, as protection against a corrupt one.
+	maxRecordBytes = 32 << 20
 )
 
-// errNoBase says that a record was packed against a version that this node does not hold.
+// errNoBase is returned for a record whose base version this node does not hold.
 var errNoBase = errors.New("record is packed against a version that is not held")
 
-// handOn gives the newest version of the desired state to other nodes: as what has changed since the version
-// that they hold, and to a few at a time: whole to all that ask, it would fill this node's link for many seconds.
-type handOn struct {
+// stateTransfer sends the newest desired state to other nodes, as a delta to the version that they hold, and to a few
+// at a time: sending the whole state to all that ask would fill this node's link for many seconds.
+type stateTransfer struct {
 	clock clock.Clock
 	link  *pacer.Pacer
-	// bytesPerMilli is what records may take of the link.
+	// bytesPerMilli is the part of the link's capacity that state transfers may take.
 	bytesPerMilli float64
 
 	mu sync.Mutex
-	// kept are the last versions, the newest last.
-	kept []replica.Record
-	// packs are the newest one as it is sent to nodes that hold another, by that other's version.
-	packs map[uint64]*tlv1.Record
-	// served are the nodes that were given the newest one.
+	// versions are the last versions, oldest first.
+	versions []replica.Record
+	// encoded holds the newest version by the base version that it is encoded against, 0 for none.
+	encoded map[uint64]*tlv1.Record
+	// served are the addresses of the nodes that have got the newest version.
 	served []string
 }
 
-func newHandOn(c clock.Clock, linkMbps float64) *handOn {
-	return &handOn{clock: c, link: pacer.New(c, handOnAhead), bytesPerMilli: linkMbps * bytesPerMilliMbps * handOnShare, packs: map[uint64]*tlv1.Record{}}
+func newStateTransfer(c clock.Clock, linkMbps float64) *stateTransfer {
+	return &stateTransfer{clock: c, link: pacer.New(c, stateMaxAhead), bytesPerMilli: linkMbps * bytesPerMilliMbps * stateLinkShare, encoded: map[uint64]*tlv1.Record{}}
 }
 
 // bytesPerMilliMbps is how many bytes a link of 1 Mbit/s carries in a millisecond.
 const bytesPerMilliMbps = 125
 
-// keep notes the version that this node holds now.
-func (h *handOn) keep(x replica.Record) {
+// addVersion records the version that this node holds now.
+func (h *stateTransfer) addVersion(x replica.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n := len(h.kept); n > 0 && h.kept[n-1].Version >= x.Version {
+	if n := len(h.versions); n > 0 && h.versions[n-1].Version >= x.Version {
 		return
 	}
-	h.kept = append(h.kept, x)
-	if len(h.kept) > keptVersions {
-		h.kept = slices.Delete(h.kept, 0, 1)
+	h.versions = append(h.versions, x)
+	if len(h.versions) > maxVersions {
+		h.versions = slices.Delete(h.versions, 0, 1)
 	}
-	clear(h.packs)
+	clear(h.encoded)
 	h.served = nil
 }
 
-// newest returns the newest version, packed for a node that holds another one; nil if that is no older.
-func (h *handOn) newest(held uint64) (*tlv1.Record, error) {
+// encodeFor returns the newest version, encoded for a node that holds another one, or nil if that is not older.
+func (h *stateTransfer) encodeFor(held uint64) (*tlv1.Record, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.kept) == 0 || h.kept[len(h.kept)-1].Version <= held {
+	if len(h.versions) == 0 || h.versions[len(h.versions)-1].Version <= held {
 		return nil, nil
 	}
-	x := h.kept[len(h.kept)-1]
-	base, found := h.version(held)
+	x := h.versions[len(h.versions)-1]
+	base, found := h.valueAt(held)
 	if !found {
 		held = 0
 	}
-	packed := h.packs[held]
+	packed := h.encoded[held]
 	if packed == nil {
 		raw, err := delta.Pack(base, x.Value)
 		if err != nil {
 			return nil, err
 		}
 		packed = &tlv1.Record{Key: x.Key, Version: x.Version, Packed: raw, Base: held, Check: xxhash.Sum64(x.Value)}
-		h.packs[held] = packed
+		h.encoded[held] = packed
 	}
 	return &tlv1.Record{
 		Key: packed.Key, Version: packed.Version, Packed: packed.Packed, Base: packed.Base, Check: packed.Check,
@@ -105,21 +104,21 @@
 	}, nil
 }
 
-// change returns the newest version packed for nodes that hold the one before it; nil if there is none.
-func (h *handOn) change() (*tlv1.Record, error) {
+// encodeDelta returns the newest version encoded against the one before it, or nil if there is none.
+func (h *stateTransfer) encodeDelta() (*tlv1.Record, error) {
 	h.mu.Lock()
-	n := len(h.kept)
+	n := len(h.versions)
 	if n < 2 {
 		h.mu.Unlock()
 		return nil, nil
 	}
-	before := h.kept[n-2].Version
+	before := h.versions[n-2].Version
 	h.mu.Unlock()
-	return h.newest(before)
+	return h.encodeFor(before)
 }
 
-func (h *handOn) version(v uint64) (value []byte, found bool) {
-	for _, x := range h.kept {
+func (h *stateTransfer) valueAt(v uint64) (value []byte, found bool) {
+	for _, x := range h.versions {
 		if x.Version == v {
 			return x.Value, true
 		}
@@ -127,15 +126,15 @@
 	return nil, false
 }
 
-// unpack returns the value of a record that another node packed.
-func (h *handOn) unpack(x *tlv1.Record) (value []byte, err error) {
+// decode returns the value of a packed record from another node.
+func (h *stateTransfer) decode(x *tlv1.Record) (value []byte, err error) {
 	h.mu.Lock()
-	base, found := h.version(x.GetBase())
+	base, found := h.valueAt(x.GetBase())
 	h.mu.Unlock()
 	if !found && x.GetBase() != 0 {
 		return nil, errNoBase
 	}
-	value, err = delta.Unpack(base, x.GetPacked(), maxRecord)
+	value, err = delta.Unpack(base, x.GetPacked(), maxRecordBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -145,15 +144,14 @@
 	return value, nil
 }
 
-// admit says whether the node at the address may be handed so many bytes now. If not, holders are other nodes
-// to ask.
-func (h *handOn) admit(address string, bytes int) (admitted bool, holders []string) {
+// admit reports whether the node at the address may be sent so many bytes now. If not, holders are other nodes to ask.
+func (h *stateTransfer) admit(address string, bytes int) (admitted bool, holders []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.link.Admits() {
 		holders = slices.Clone(h.served)
 		rand.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
-		return false, holders[:min(len(holders), holdersTold)]
+		return false, holders[:min(len(holders), maxHoldersSent)]
 	}
 	h.link.Charge(float64(bytes) / h.bytesPerMilli)
 	if address != "" && !slices.Contains(h.served, address) && len(h.served) < servedKept {
--- a/node/peers.go
+++ b/node/peers.go
@@ -122,7 +122,7 @@
 		switch k := store.Kind(theirs.GetKind()); {
 		case !p.differs(theirs):
 		case k == store.State && p.sendsState(theirs, req.Msg.GetPulls()), k == store.Evacuations:
-			res.Records = append(res.Records, n.records.wire(k, n.records.sets[k].All()))
+			res.Records = append(res.Records, n.records.toWire(k, n.records.sets[k].All()))
 		}
 	}
 	rest := res
@@ -130,7 +130,7 @@
 		rest = &tlv1.SyncResponse{}
 	}
 	if !req.Msg.GetRecordsOnly() {
-		rest.Members = unknownTo(n.members.All(), req.Msg.GetKnown())
+		rest.Members = missingMembers(n.members.All(), req.Msg.GetKnown())
 	}
 	given := p.addBulk(req.Msg, rest, res)
 	if rest != res {
@@ -158,7 +158,7 @@
 		case !req.GetPacks():
 			given = p.addDiff(k, theirs, rest) || given
 		default:
-			after, many := n.packs.wanted(k, theirs)
+			after, many := n.packs.shouldPack(k, theirs)
 			if !many {
 				given = p.addDiff(k, theirs, rest) || given
 			} else if x := p.buildPack(packKey{kind: k, after: after}); x != nil {
@@ -173,7 +173,7 @@
 func (p *peers) addDiff(k store.Kind, theirs *tlv1.KindSum, rest *tlv1.SyncResponse) bool {
 	n := p.node
 	return n.compares.give(func() (made, sent int) {
-		list := n.records.wire(k, n.records.sets[k].Diff(theirs.GetSums()))
+		list := n.records.toWire(k, n.records.sets[k].Diff(theirs.GetSums()))
 		rest.Records = append(rest.Records, list)
 		made = proto.Size(list)
 		return made, made
@@ -188,11 +188,11 @@
 		return nil
 	}
 	n.compares.give(func() (made, sent int) {
-		x, found := n.packs.ready(key)
-		made = len(x.answer) / packFactor
+		x, found := n.packs.cached(key)
+		made = len(x.answer) / packSpeedup
 		if !found {
 			var err error
-			if x, made, err = n.packs.make(key); err != nil {
+			if x, made, err = n.packs.build(key); err != nil {
 				n.log.WithFields(logrus.Fields{"event": "records_not_packed", "kind": key.kind, "error": err}).Error()
 				return made, 0
 			}
@@ -209,7 +209,7 @@
 // addCompressed adds rest to res, compressed if it is large enough.
 func (p *peers) addCompressed(rest, res *tlv1.SyncResponse) {
 	if proto.Size(rest) >= minCompressBytes {
-		answer, _, err := packed(rest)
+		answer, _, err := compressResponse(rest)
 		if err == nil {
 			res.Packs = append(res.Packs, &tlv1.Pack{Answer: answer})
 			return
@@ -263,7 +263,7 @@
 	if theirs.GetNewest() >= r.sets[store.State].Newest() {
 		return false
 	}
-	return !pulls || r.stateSize() <= wholeRecord
+	return !pulls || r.stateSize() <= maxInlineRecordBytes
 }
 
 // syncOnFirstContact syncs this node with the first other one that it hears from.
@@ -347,7 +347,7 @@
 	}
 	if full {
 		req.Members = n.members.All()
-		req.Known = hashes(req.Members)
+		req.Known = memberHashes(req.Members)
 		req.Members = req.Members[:min(len(req.Members), maxMembersSent)] // the first is this node; the peer asks others for the rest
 	}
 	c := tinladderv1connect.NewFleetServiceClient(p.http, "http://"+address)
@@ -364,7 +364,7 @@
 	n.quotas.peakLive.observe(int(res.Msg.GetKnown()), n.clock.Now())
 	records := p.mergeParts(res.Msg, address)
 	for _, r := range p.inOrder(records) {
-		n.records.hear(r, address)
+		n.records.receive(r, address)
 	}
 	if !n.duty.mergeKindSums(res.Msg.GetKinds(), address, n.far(address)) && len(records) == 0 {
 		p.mu.Lock()
@@ -379,7 +379,7 @@
 	n := p.node
 	parts := []*tlv1.SyncResponse{res}
 	for _, x := range res.GetPacks() {
-		part, err := unpacked(x)
+		part, err := decompressResponse(x)
 		if err != nil {
 			n.log.WithFields(logrus.Fields{"event": "record_unreadable", "from": address, "error": err}).Warn()
 			continue
--- a/node/services.go
+++ b/node/services.go
@@ -118,7 +118,7 @@
 
 // load sets the targets of the service's pool.
 func (s *services) load(svc *service, targets []pool.Target) {
-	svc.pool.SetFloor(int(s.node.records.book.Load().services[svc.name].GetService().GetFloorSlots()))
+	svc.pool.SetFloor(int(s.node.records.documents.Load().services[svc.name].GetService().GetFloorSlots()))
 	svc.pool.SetTargets(targets)
 	svc.loaded.Store(true)
 }
@@ -178,7 +178,7 @@
 
 // knownTargets returns all targets that registered themselves or that documents name.
 func (s *services) knownTargets() []target {
-	registered, named := s.node.records.targets(), s.node.records.book.Load().targets()
+	registered, named := s.node.records.targets(), s.node.records.documents.Load().targets()
 	if len(named) == 0 {
 		return registered
 	}
@@ -207,7 +207,7 @@
 		}
 		until, rate := place.warmupLimit(t, trialRank)
 		byService[t.service] = append(byService[t.service], pool.Target{
-			ID: t.id, Address: t.address, Slots: t.slots, Leaving: t.leaving, WarmAt: max(t.warmAt, until), Life: t.life,
+			ID: t.id, Address: t.address, Slots: t.slots, Leaving: t.leaving, WarmAt: max(t.warmupUntil, until), Life: t.generation,
 			Hall: t.hall, SameHall: near, OtherRegion: s.node.inOtherRegion(t.hall), Assigned: trialRank >= 0, TrialRank: max(trialRank, 0),
 			Evacuated: place.evacuations[t.hall].inForce, WarmupUntil: until, WarmupRate: rate,
 		})
@@ -235,7 +235,7 @@
 func (s *services) refresh() {
 	s.refreshMu.Lock()
 	defer s.refreshMu.Unlock()
-	s.node.records.touchedServices()
+	s.node.records.takeChangedServices()
 	s.refreshServices(nil)
 }
 
@@ -243,7 +243,7 @@
 func (s *services) refreshChanged() {
 	s.refreshMu.Lock()
 	defer s.refreshMu.Unlock()
-	s.refreshServices(s.node.records.touchedServices())
+	s.refreshServices(s.node.records.takeChangedServices())
 }
 
 // refreshServices updates the targets of the given services; nil stands for all. The caller holds s.refreshMu, so that the
@@ -253,7 +253,7 @@
 	s.refreshedAt, s.stale = s.node.clock.Now(), false
 	s.mu.Unlock()
 	slots, count := s.node.records.targetSlots()
-	for _, t := range s.node.records.book.Load().targets() {
+	for _, t := range s.node.records.documents.Load().targets() {
 		slots[t.service] += t.slots
 		count++
 	}
@@ -304,7 +304,7 @@
 	}
 	if len(held) == 0 {
 		_, registered := s.node.records.targetSlots()
-		return registered + len(s.node.records.book.Load().targets())
+		return registered + len(s.node.records.documents.Load().targets())
 	}
 	for _, t := range s.knownTargets() {
 		if !held[t.service] {
@@ -342,7 +342,7 @@
 
 // serviceNames returns the services that the desired state and the documents name.
 func (s *services) serviceNames() []string {
-	names := slices.Collect(maps.Keys(s.node.records.book.Load().services))
+	names := slices.Collect(maps.Keys(s.node.records.documents.Load().services))
 	if t := s.node.records.table.Load(); t != nil {
 		names = slices.AppendSeq(names, maps.Keys(t.Services))
 	}
--- a/node/spread.go
+++ b/node/spread.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// recordsPerParcel and bytesPerParcel bound one datagram of records.
-	recordsPerParcel = 8
-	bytesPerParcel   = 4 << 10
-	// bulkRecords is how many records at once are asked for by those that lack them, packed, in place of being sent to each
-	// node one datagram after the other.
+	// maxParcelRecords and maxParcelBytes limit one datagram of records.
+	maxParcelRecords = 8
+	maxParcelBytes   = 4 << 10
+	// bulkRecords is the number of records above which a change is not sent to each node in datagrams; nodes that lack the
+	// records fetch them as a pack.
 	bulkRecords = 128
-	// freshWord is the age up to which a hall's word of the store is fresh: two words of its watcher.
-	freshWord = 2 * confirmInterval
-	// morePeersTold is how many more nodes a watcher tells of a large record, besides its own hall: each hall has a
-	// watcher of its own.
-	morePeersTold = 4
+	// freshConfirmAge is the age up to which the confirmation of a hall's watcher is fresh: two of its intervals.
+	freshConfirmAge = 2 * confirmInterval
+	// extraConfirms is how many nodes besides its own hall a watcher tells of a large record. Each hall has a watcher of
+	// its own.
+	extraConfirms = 4
 )
 
-// spread tells this hall, and a few nodes of each other one, of records that the store had. A node that does not
-// watch tells of its sums alone: each hall has one that does, and if all that ask for themselves sent what they
-// find to all, a store that comes back would have as many copies sent as there are pairs of nodes.
-func (d *duty) spread(k store.Kind, news []replica.Record) {
-	if k != store.State && len(news) > bulkRecords {
+// broadcast sends records that were read from the store to this hall and to a few nodes of each other one. A node that
+// is not a watcher sends only its sums: each hall has a watcher, and if every node that queries the store itself sent what
+// it finds to all, a store that recovers would cause as many copies as there are pairs of nodes.
+func (d *duty) broadcast(k store.Kind, changed []replica.Record) {
+	if k != store.State && len(changed) > bulkRecords {
 		d.confirmToHall()
 		d.sendConfirm(d.relays())
 		return
@@ -36,65 +36,65 @@
 		d.confirmToHall()
 		return
 	}
-	d.send(k, news, append(d.hallPeers(), d.relays()...))
+	d.send(k, changed, append(d.hallPeers(), d.relays()...))
 	d.sendConfirm(d.relays())
 }
 
-// forward tells this hall of records that another hall's watcher told this node of, if the hall has no fresh word of its
-// own: else its own watcher tells it, and each record would come once from each hall. The watcher itself tells of what it
-// hears so, since the store's answer brings it no news then.
-func (d *duty) forward(k store.Kind, news []replica.Record) {
-	if k == store.State || !d.fresh(k) || d.rank() == 0 {
-		d.send(k, news, d.hallPeers())
+// forwardToHall sends records from another hall's watcher to this hall if the hall has no fresh confirmation from its own
+// watcher. Otherwise that watcher sends them, and forwarding would bring each record once from every hall. The watcher
+// itself always forwards, since the records are not new any more when the store's response brings them.
+func (d *duty) forwardToHall(k store.Kind, changed []replica.Record) {
+	if k == store.State || !d.hasFreshConfirm(k) || d.rank() == 0 {
+		d.send(k, changed, d.hallPeers())
 	}
 }
 
-// fresh says whether this hall's word of the store is so young that its watcher will tell of what is new.
-func (d *duty) fresh(k store.Kind) bool {
-	return d.age(k) <= freshWord && d.hall.HeardWithin(freshWord)
+// hasFreshConfirm reports whether this hall's confirmation is so recent that its watcher will send what is new.
+func (d *duty) hasFreshConfirm(k store.Kind) bool {
+	return d.age(k) <= freshConfirmAge && d.hall.HeardWithin(freshConfirmAge)
 }
 
-// send sends records, and tells this hall of their sums.
-func (d *duty) send(k store.Kind, news []replica.Record, to []string) {
+// send sends records to the addresses, and their sums to this hall.
+func (d *duty) send(k store.Kind, changed []replica.Record, to []string) {
 	if k == store.State {
-		d.sendState(news, to)
+		d.sendState(changed, to)
 		d.confirmToHall()
 		return
 	}
-	d.sendParts(k, news, to)
+	d.sendBatches(k, changed, to)
 	d.confirmSoon()
 }
 
-// sendParts sends records in parts of the size of a datagram. Large ones are asked for by those that lack them.
-func (d *duty) sendParts(k store.Kind, news []replica.Record, to []string) {
-	for part := range slices.Chunk(news, recordsPerParcel) {
+// sendBatches sends records in batches of the size of a datagram. Nodes that lack larger ones fetch them.
+func (d *duty) sendBatches(k store.Kind, changed []replica.Record, to []string) {
+	for part := range slices.Chunk(changed, maxParcelRecords) {
 		size := 0
 		for _, r := range part {
 			size += len(r.Value)
 		}
-		if size <= bytesPerParcel {
-			d.sendRecords(d.node.records.wire(k, part), to)
+		if size <= maxParcelBytes {
+			d.sendRecords(d.node.records.toWire(k, part), to)
 		}
 	}
 }
 
-// sendState sends a small state, or what has changed if that is small. Of a large one it tells a few more nodes,
-// and those that lack it ask for it.
-func (d *duty) sendState(news []replica.Record, to []string) {
+// sendState sends the state, or its delta to the previous version, if that fits into a datagram. For a large one it sends
+// confirmations to a few more nodes, and nodes that lack it fetch it.
+func (d *duty) sendState(changed []replica.Record, to []string) {
 	n := d.node
-	if len(news[0].Value) <= bytesPerParcel {
-		d.sendRecords(n.records.wire(store.State, news), to)
+	if len(changed[0].Value) <= maxParcelBytes {
+		d.sendRecords(n.records.toWire(store.State, changed), to)
 		return
 	}
-	x, err := n.handOn.change()
+	x, err := n.stateTransfer.encodeDelta()
 	if err != nil {
 		n.log.WithFields(logrus.Fields{"event": "state_not_packed", "error": err}).Error()
 	}
-	if x != nil && len(x.GetPacked()) <= smallRecord {
+	if x != nil && len(x.GetPacked()) <= maxDatagramRecordBytes {
 		d.sendRecords(&tlv1.Records{Kind: string(store.State), Records: []*tlv1.Record{x}}, to)
 		return
 	}
-	d.confirmToRandom(morePeersTold)
+	d.confirmToRandom(extraConfirms)
 }
 
 func (d *duty) sendRecords(r *tlv1.Records, addresses []string) {
