--- a/node/node.go
+++ b/node/node.go
@@ -55,53 +55,53 @@
 type Platform struct {
 	// Source returns the source of records. It calls refused for each record that it reads and cannot use.
 	Source func(refused func(store.Refusal)) store.Source
-	Table store.Table
+	Table  store.Table
 	// Suspects stores the requests under which targets crashed.
 	Suspects store.Table
-	Objects store.Objects
+	Objects  store.Objects
 	Protocol Protocol
 }
 
 // A Node struct is one process of the fleet.
 type Node struct {
-	config atomic.Pointer[settings.Settings]
-	path string
-	clock clock.Clock
-	log *logs.Log
+	config   atomic.Pointer[settings.Settings]
+	path     string
+	clock    clock.Clock
+	log      *logs.Log
 	platform Platform
-	self ident.Process
-	keys *keyring
-	metrics *nodeMetrics
-	tuning pool.Tuning
+	self     ident.Process
+	keys     *keyring
+	metrics  *nodeMetrics
+	tuning   pool.Tuning
 
-	members *member.Table
-	records *records
-	source store.Source
-	services *services
-	carriers *carriers
-	demand *demand
-	duty *duty
-	lag *lagTracker
+	members       *member.Table
+	records       *records
+	source        store.Source
+	services      *services
+	carriers      *carriers
+	demand        *demand
+	duty          *duty
+	lag           *lagTracker
 	stateTransfer *stateTransfer
-	puller *puller
-	compares *comparisonLimiter
-	packs *packs
-	wire *wire
-	peers *peers
-	conns *forward.ConnPool
-	limiter *limiter
-	quotas *quotas
-	ledger *once.Ledger
-	configs config.Log
-	writer config.Writer
-	events *eventLog
-	leaving *leaving
-	memberLog *memberLog
-	traffic *traffic
-	suspects *suspects
+	puller        *puller
+	compares      *comparisonLimiter
+	packs         *packs
+	wire          *wire
+	peers         *peers
+	conns         *forward.ConnPool
+	limiter       *limiter
+	quotas        *quotas
+	ledger        *once.Ledger
+	configs       config.Log
+	writer        config.Writer
+	events        *eventLog
+	leaving       *leaving
+	memberLog     *memberLog
+	traffic       *traffic
+	suspects      *suspects
 
 	doors []*door.Server
-	done chan struct{}
+	done  chan struct{}
 }
 
 // New returns a node that listens at its addresses but does not serve yet. It reloads the settings
@@ -110,14 +110,14 @@
 	defer func() { err = errors.Wrap(err, "new node") }()
 	n = &Node{
 		path: path, clock: c, log: log, platform: p,
-		self: ident.Process{Node: ident.Node(s.Node.Name), Incarnation: ident.Incarnation(c.Now())},
-		keys: newKeyring(s.Fleet.KeyBytes()),
+		self:    ident.Process{Node: ident.Node(s.Node.Name), Incarnation: ident.Incarnation(c.Now())},
+		keys:    newKeyring(s.Fleet.KeyBytes()),
 		metrics: newMetrics(c),
-		conns: forward.NewConnPool(c, dialTimeout),
+		conns:   forward.NewConnPool(c, dialTimeout),
 		limiter: newLimiter(s.Limits.Requests),
 		configs: config.NewLog(p.Table),
-		writer: config.NewWriter(p.Table, c),
-		done: make(chan struct{}),
+		writer:  config.NewWriter(p.Table, c),
+		done:    make(chan struct{}),
 	}
 	n.config.Store(s)
 	if n.tuning, err = pool.DefaultTuning.Without(s.Trial.Off...); err != nil {
@@ -183,8 +183,8 @@
 	s := n.settings().Node
 	for _, d := range []struct {
 		name, address string
-		server *http.Server
-		rest func() time.Duration
+		server        *http.Server
+		rest          func() time.Duration
 	}{
 		{callersDoor, s.Callers, n.callersServer(), n.callersIdleTimeout},
 		{peersDoor, s.Peers, &http.Server{Handler: n.peersHandler()}, nil},
