--- a/node/admit_test.go
+++ b/node/admit_test.go
@@ -179,7 +179,7 @@
 // not reject the key as unknown. The fault: a node that was five versions behind answered 20 of 53 requests with 401.
 func TestNewKeyIsNotRefusedByANodeThatIsBehind(t *testing.T) {
 	is := is.New(t)
-	f := startFleet(t, 4, &fleet{muffled: true, via: func(store string) string { return store }})
+	f := startFleet(t, 4, &fleet{silenceable: true, via: func(store string) string { return store }})
 	f.target("i-1", "desk")
 	f.configureKeyed(3, workspaces[1:])
 	f.ready(3, 1)
@@ -200,7 +200,7 @@
 	told := func(n *testNode) int { return strings.Count(n.log.String(), "event=state_behind") }
 	before := map[*testNode]int{}
 	for _, n := range f.nodes {
-		n.muffler.silence()
+		n.silencer.silence()
 		before[n] = told(n)
 	}
 	large(5, workspaces)
--- a/node/duty.go
+++ b/node/duty.go
@@ -278,7 +278,7 @@
 		r, err = n.source.Read(ctx, k)
 		if err == nil {
 			for _, with := range withKinds(r) {
-				d.spreadNews(with, n.records.replace(with, r.With[with], r.Cursor, fromStore))
+				d.broadcastNew(with, n.records.replace(with, r.With[with], r.Cursor, fromStore))
 			}
 			news = n.records.replace(k, r.Records, r.Cursor, fromStore)
 		}
@@ -286,7 +286,7 @@
 		r, err = n.source.Follow(ctx, k, m, d.longPollTime(k))
 		if err == nil {
 			for _, with := range withKinds(r) {
-				d.spreadNews(with, n.records.put(with, r.With[with], fromStore))
+				d.broadcastNew(with, n.records.put(with, r.With[with], fromStore))
 			}
 			news = n.records.put(k, r.Records, fromStore)
 		}
@@ -315,10 +315,10 @@
 	return slices.Sorted(maps.Keys(r.With))
 }
 
-// spreadNews distributes records of further kinds.
-func (d *duty) spreadNews(k store.Kind, news []replica.Record) {
-	if len(news) > 0 {
-		d.broadcast(k, news)
+// broadcastNew distributes records of further kinds.
+func (d *duty) broadcastNew(k store.Kind, changed []replica.Record) {
+	if len(changed) > 0 {
+		d.broadcast(k, changed)
 	}
 }
 
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -87,7 +87,7 @@
 		id:      r.Header.Get(h.RequestID),
 		service: n.services.get(route.PickService(rand.Uint32N)),
 	}
-	x.stats = x.service.pace(route.Name, n.clock)
+	x.stats = x.service.statsFor(route.Name, n.clock)
 	if ms, err := strconv.ParseInt(r.Header.Get(h.Deadline), 10, 64); err == nil && ms >= 0 {
 		x.deadline = min(x.deadline, now+clock.Millis(ms))
 	}
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -38,8 +38,8 @@
 	via func(store string) string
 	// linkBytes is the bandwidth of each node's link in bytes per second; 0 is unlimited.
 	linkBytes int
-	// muffled routes other nodes' connections to each node through a silencingProxy.
-	muffled bool
+	// silenceable routes other nodes' connections to each node through a silencingProxy.
+	silenceable bool
 	// operated makes nodes serve operators, and follow documents.
 	operated bool
 	// lonely makes each node its own only seed.
@@ -57,9 +57,9 @@
 	// operators is the address for operators; empty if the node serves none.
 	operators string
 	// peersAt is the node's listen address for peers, which differs from peers behind a relay.
-	peersAt string
-	link    *emulate.Link
-	muffler *silencingProxy
+	peersAt  string
+	link     *emulate.Link
+	silencer *silencingProxy
 	// relay is the network path of peers to a node with a link.
 	relay *emulate.Relay
 	// extraSettings is added to the node's settings.
@@ -153,9 +153,9 @@
 			n.relay = r
 			f.t.Cleanup(r.Close)
 		}
-		if f.muffled {
-			n.peersAt, n.muffler = free[4], newSilencingProxy(f.t, free[4])
-			r, err := emulate.NewRelay(n.peers, n.peersAt, n.peers, n.muffler.address())
+		if f.silenceable {
+			n.peersAt, n.silencer = free[4], newSilencingProxy(f.t, free[4])
+			r, err := emulate.NewRelay(n.peers, n.peersAt, n.peers, n.silencer.address())
 			if err != nil {
 				f.t.Fatal(err)
 			}
--- a/node/services.go
+++ b/node/services.go
@@ -43,8 +43,8 @@
 	flushScheduled bool
 	// users are the other nodes that reported requests for the service.
 	users map[ident.Process]usage
-	// paces are the durations of requests, by route.
-	paces map[string]*routeStats
+	// routeStats are the durations of requests, by route.
+	routeStats map[string]*routeStats
 	// carriers are the nodes that carried the service at the last check.
 	carriers map[ident.Process]bool
 	// sharers are the nodes that carried the service recently.
@@ -138,7 +138,7 @@
 func (s *services) add(name string) *service {
 	n := s.node
 	r := n.settings().Retries
-	svc := &service{name: name, users: map[ident.Process]usage{}, paces: map[string]*routeStats{}, sharers: assign.NewSharers()}
+	svc := &service{name: name, users: map[ident.Process]usage{}, routeStats: map[string]*routeStats{}, sharers: assign.NewSharers()}
 	b := pool.NewRetryBudget(n.clock, r.Ratio*pool.RatioShare, s.slackShare(svc, true), r.Window.Millis())
 	svc.pool = pool.New(n.tuning, n.clock, newRand(), b, func(w pool.ChangeKind, of ident.Hall) { s.report(svc, w, of) },
 		func(e pool.Event) { s.recordEvent(svc, e) })
@@ -146,23 +146,23 @@
 	return svc
 }
 
-// pace returns the durations of the route's requests. At maxPaces routes it discards all of them, since routes come and go.
-func (s *service) pace(route string, c clock.Clock) *routeStats {
+// statsFor returns the durations of the route's requests. At maxPaces routes it discards all of them, since routes come and go.
+func (s *service) statsFor(route string, c clock.Clock) *routeStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.paces[route]
+	p := s.routeStats[route]
 	if p == nil {
-		if len(s.paces) >= maxPaces {
-			clear(s.paces)
+		if len(s.routeStats) >= maxRouteStats {
+			clear(s.routeStats)
 		}
 		p = newRouteStats(c)
-		s.paces[route] = p
+		s.routeStats[route] = p
 	}
 	return p
 }
 
-// maxPaces is the maximum number of routes per service with recorded durations, at 4 KB each.
-const maxPaces = 64
+// maxRouteStats is the maximum number of routes per service with recorded durations, at 4 KB each.
+const maxRouteStats = 64
 
 // all returns the services, sorted by name.
 func (s *services) all() []*service {
--- a/node/silent_test.go
+++ b/node/silent_test.go
@@ -187,7 +187,7 @@
 // TestSilentConnectionsBetweenNodes makes the connections between nodes go silent while the store refuses all nodes but
 // one, and a state is stored that is too large for datagrams. It must come into force on all nodes all the same.
 func TestSilentConnectionsBetweenNodes(t *testing.T) {
-	f := startFleet(t, 4, &fleet{muffled: true, via: func(store string) string { return store }})
+	f := startFleet(t, 4, &fleet{silenceable: true, via: func(store string) string { return store }})
 	f.target("i-1", "desk")
 	f.calm(3)
 	f.ready(3, 1)
@@ -197,7 +197,7 @@
 	f.inForceWithin(4, f.putLargeState(4, 600, false), 5*time.Second) // leaves idle connections open
 	open := 0
 	for _, n := range f.nodes {
-		open += n.muffler.silence()
+		open += n.silencer.silence()
 	}
 	if open == 0 {
 		t.Fatal("no connection was open")
