--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -14,7 +14,7 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// resolve asks a node which addresses callers should use.
+// resolve queries a node's directory for the addresses that callers in the hall should use.
 func (f *fleet) resolve(n *testNode, hall string) []string {
 	res, err := f.http.Get("http://" + n.directory + platform.ResolvePath + "?name=shop&region=r&zone=" + hall)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return a.Addresses
 }
 
-// TestLeavingCutsNothing stops a node under load: what came to it is answered, its callers are sent
-// away, and the directory leaves it out at once.
+// TestLeavingCutsNothing stops a node under load: it must answer the requests it accepted, turn unready within 200 ms,
+// disappear from the directory within 500 ms and exit within the grace period.
 func TestLeavingCutsNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
@@ -66,7 +66,7 @@
 				}
 				mu.Unlock()
 				if r.broken {
-					return // as a caller does that goes elsewhere
+					return // like a caller that switches to another node
 				}
 			}
 		})
@@ -79,7 +79,7 @@
 	f.eventually("the directory leaves it out", func() bool { return !slices.Contains(f.resolve(f.nodes[0], "h2"), n.callers) })
 	is.True(time.Since(start) < 500*time.Millisecond)
 	<-n.node.Done()
-	is.True(time.Since(start) < 2*time.Second) // the grace period of the settings
+	is.True(time.Since(start) < 2*time.Second) // the configured grace period
 	close(stop)
 	wg.Wait()
 	is.Equal(bad, []string{})
@@ -96,7 +96,7 @@
 		halls[n.callers] = n.hall
 	}
 	start := time.Now()
-	f.eventually("all nodes say the same", func() bool { // as soon as all have heard of all
+	f.eventually("all nodes say the same", func() bool { // once every node knows every other
 		for _, h := range []string{"h0", "h1", "h2"} {
 			want := f.resolve(f.nodes[0], h)
 			if len(want) != 2 || halls[want[0]] != h || halls[want[1]] != h {
@@ -114,7 +114,7 @@
 	is.True(len(f.resolve(f.nodes[0], "elsewhere")) >= 2)
 }
 
-// TestDirectoryLeavesSilentNodesOut stops a node without a word.
+// TestDirectoryLeavesSilentNodesOut stops a node without a graceful shutdown.
 func TestDirectoryLeavesSilentNodesOut(t *testing.T) {
 	f := newFleet(t, 6)
 	f.target("i-1", "desk")
