--- a/node/leave_body_test.go
+++ b/node/leave_body_test.go
@@ -14,10 +14,10 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// A request whose body has come in part waits for the rest of it, by the caller's time and a little more, and the node's end
-// did not know of that wait. It closed the connection under the request, 1.86 and 1.88 s after SIGTERM of 2 s of grace, just
-// after "step=end ms=1842 callers_busy=1 in_flight=1", and the caller could not tell that nothing had run. One whose body goes
-// on to a target as it comes was answered, at 1.82 s.
+// A request whose body has arrived only in part waits for the rest until slightly after the caller's deadline. Shutdown once
+// ignored that wait and closed the connection 1.86 to 1.88 s after SIGTERM, with a grace period of 2 s and just after
+// "step=end ms=1842 callers_busy=1 in_flight=1", so the caller could not tell that nothing had run. A request whose body is
+// streamed to a target was not affected: it was answered at 1.82 s.
 func TestRequestsWhoseBodyIsOnItsWayAreAnsweredAtTheEnd(t *testing.T) {
 	for _, c := range []struct {
 		name         string
