--- a/node/leave_late_test.go
+++ b/node/leave_late_test.go
@@ -12,9 +12,9 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// TestLeavingTakesNothingThatItCouldCut stops a node that has a request which lasts beyond its grace period, and sends
-// another such on a kept connection when most of that has passed. The second one is refused at once, and does not run:
-// taken, it would be cut at the node's end.
+// TestLeavingTakesNothingThatItCouldCut stops a node, sends it a request that still completes within the grace period of
+// 2 s, and then another on a keep-alive connection that could not. The second one must be refused at once and must not run:
+// if it were accepted, it would be cut off when the node exits.
 func TestLeavingTakesNothingThatItCouldCut(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
@@ -40,7 +40,7 @@
 	is.Equal(ask("before").StatusCode, http.StatusOK)
 	stopped := time.Now()
 	n.stop()
-	time.Sleep(850 * time.Millisecond) // of two seconds
+	time.Sleep(850 * time.Millisecond) // the grace period is 2 s
 	busy := make(chan int, 1)
 	other, err := net.Dial("tcp", n.callers)
 	is.NoErr(err)
@@ -61,5 +61,5 @@
 	is.True(res.Header.Get("Retry-After") != "")
 	is.True(time.Since(from) < 300*time.Millisecond)
 	is.Equal(ran("late", slow), 0)
-	is.Equal(<-busy, http.StatusOK) // what came in time is answered
+	is.Equal(<-busy, http.StatusOK) // a request accepted in time completes
 }
