--- a/node/leave_resting_test.go
+++ b/node/leave_resting_test.go
@@ -16,15 +16,15 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// Callers keep connections open that rest, and use them again at any moment, also after their node was told to stop: they
-// cannot know. A node ended as soon as its doors were shut and its count of requests was nought, with more than half of its
-// grace period left, and closed whatever rested. The count spanned the handlers alone, so a request that had been read and
-// had no handler yet ended without an answer, and so did each that was on its way. What settled it: real nodes told
-// "leave_ended in_flight=0 callers_busy=1 callers_resting=356" in the millisecond in which callers saw an end of file 55 µs
-// after they had sent, 1.8 s after a SIGTERM that allowed four; 13 of some 50,000 requests.
+// Callers reuse idle connections at any moment, also after their node received SIGTERM, since they cannot know of it. A node
+// once exited as soon as its listeners were closed and no request was in flight, with more than half of its grace period
+// left, and closed its idle connections. Only running handlers counted as in flight, so requests on their way, and those
+// that had been read but had no handler yet, got no response: 13 of some 50,000 requests. Real nodes logged "leave_ended
+// in_flight=0 callers_busy=1 callers_resting=356" 1.8 s after SIGTERM, with a grace period of 4 s, in the millisecond in
+// which callers saw EOF 55 µs after sending.
 func TestEndCutsNothingOnRestingConnections(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 2) // with two seconds of grace
+	f := newFleet(t, 2) // the grace period is 2 s
 	quick, err := standin.NewTarget(f.store, "i-1", "desk", "h0", 60, 0)
 	is.NoErr(err)
 	defer quick.Close()
@@ -47,7 +47,7 @@
 	var wg sync.WaitGroup
 	for i, c := range kept {
 		wg.Go(func() {
-			at := 850*time.Millisecond + rand.N(400*time.Millisecond) // doors are shut at 900
+			at := 850*time.Millisecond + rand.N(400*time.Millisecond) // listeners close at 900 ms
 			if i%8 == 0 {
 				at = 1200*time.Millisecond + rand.N(300*time.Millisecond)
 			}
@@ -74,12 +74,12 @@
 	wg.Wait()
 	t.Logf("%d answered, %d seen closed before they were used", answered, ended)
 	is.Equal(lost, []string{})
-	is.Equal(ended, 0) // there is grace left, and callers that may be about to ask
+	is.Equal(ended, 0) // grace period remains, and callers may be about to send
 	<-n.node.Done()
 	is.True(time.Since(stopped) < 2*time.Second)
 }
 
-// A keptConn is a caller's connection that it uses more than once.
+// A keptConn is a caller's keep-alive connection.
 type keptConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -93,7 +93,7 @@
 	return &keptConn{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
-// ask sends a repeatable request and reads its answer.
+// ask sends a repeatable request and reads the response.
 func (c *keptConn) ask(id string) (status int, err error) {
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.WriteString(c, rawGet(id)); err != nil {
