--- a/node/leave_short_test.go
+++ b/node/leave_short_test.go
@@ -16,7 +16,7 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// regrace gives a running node another grace period.
+// regrace changes the grace period of a running node by reloading its settings.
 func (f *fleet) regrace(n *testNode, grace string) {
 	f.t.Helper()
 	b, err := os.ReadFile(n.path)
@@ -33,8 +33,8 @@
 	f.eventually("the settings are read", func() bool { return strings.Contains(n.log.String(), "event=settings_reloaded") })
 }
 
-// longAtEnd has one request at work at a node for longer than that has left, stops the node and does something. It returns
-// the status that the caller got, 0 if there was no whole answer, and how long the node took to end.
+// longAtEnd stops a node while it serves a request that outlasts the grace period, then calls then. It returns the status
+// that the caller got, 0 without a complete response, and the time from the stop to the node's exit.
 func longAtEnd(f *fleet, grace string, then func(n *testNode)) (status int, took time.Duration) {
 	is := is.New(f.t)
 	slow, err := standin.NewTarget(f.store, "i-1", "desk", "h0", 4, 2900*time.Millisecond)
@@ -69,8 +69,8 @@
 	return status, took
 }
 
-// A request that is at work as its node ends is answered by the node, and not cut. The steps of the end are shares of the
-// grace period, looked at every 20 ms: with a short one the last two were taken at once, and the request was cut.
+// A request still in flight when its node exits gets a response from the node. The steps of shutdown are fractions of the
+// grace period, checked every 20 ms: with a short one the last two once ran together, and the request was cut off.
 func TestShortGracePeriodAnswersToo(t *testing.T) {
 	for _, grace := range []string{"200ms", "500ms", "1s", "2s"} {
 		t.Run(grace, func(t *testing.T) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// The platform counts from its signal on, by the grace period that it had then. A shorter one in settings that came while a
-// node left ended it at once, with what was at work.
+// The platform measures the grace period from its signal on, with the value at that time. A shorter one in settings reloaded
+// during shutdown once made the node exit at once, which cut off requests in flight.
 func TestSettingsDoNotChangeAnEndThatHasBegun(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
