--- a/node/leave_waits_test.go
+++ b/node/leave_waits_test.go
@@ -11,10 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// A request that comes to a node without a desired state waits for the first one, 600 ms at most. The node's end did not
-// know of such waits: it closed the connection under the request instead of answering it. With 2 s of grace, a request sent
-// 1.35 s after SIGTERM on a kept connection had an end of file at 1.84 s, the moment of "step=end"; with 500 ms of grace
-// each one that was waiting had.
+// A request that reaches a node without a desired state waits up to 600 ms for the first one. Shutdown once ignored such
+// waits and closed the connection without a response. With a grace period of 2 s, a request sent on a keep-alive connection
+// 1.35 s after SIGTERM got EOF at 1.84 s, the moment of "step=end"; with 500 ms, every waiting request did.
 func TestRequestsThatWaitForTheFirstStateAreAnsweredAtTheEnd(t *testing.T) {
 	for _, c := range []struct {
 		grace string
