--- a/node/raw_own_test.go
+++ b/node/raw_own_test.go
@@ -21,8 +21,8 @@
 	ownMark    = "Tinladder-Token: " + ownToken
 )
 
-// newOwnDoors opens callers' doors to a service of the fleet's own interface: /get/ may be repeated, /once/ runs once,
-// and /free/ may have no key.
+// newOwnDoors starts a fleet and returns its nodes' caller listeners, with a service of the fleet's own interface: /get/ is
+// repeatable, /once/ runs once with a required key, and /free/ runs once with an optional key.
 func newOwnDoors(t testing.TB, nodes int) (*fleet, []*rawDoor) {
 	hash := func(s string) []byte {
 		sum := sha256.Sum256([]byte(s))
@@ -56,7 +56,7 @@
 	return f, doors
 }
 
-// apply makes a change as an operator.
+// apply writes a document through the operator API, retrying until it is accepted.
 func (f *fleet) apply(d *tlv1.Document) {
 	f.t.Helper()
 	c := tinladderv1connect.NewOperatorServiceClient(f.http, "http://"+f.nodes[0].operators)
@@ -74,7 +74,7 @@
 	})
 }
 
-// keyPrefix asks the node what keys begin with.
+// keyPrefix queries a node for the prefix that keys must have.
 func (f *fleet) keyPrefix(n *testNode) string {
 	f.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+n.callers+"/.tinladder/ask?service=desk", nil)
@@ -96,7 +96,7 @@
 	return answer.KeyPrefix
 }
 
-// ownCases are where the fleet's own interface differs from the platform's.
+// ownCases returns the cases in which the fleet's own interface differs from the platform's.
 func ownCases(prefix string) []rawCase {
 	own := func(line string, lines ...string) string {
 		return head(append([]string{line, "Host: any", "X-Request-Id: a", ownMark}, lines...)...)
@@ -159,14 +159,14 @@
 	}
 }
 
-// TestRawOwnInterface has callers of the fleet's own interface write odd requests.
+// TestRawOwnInterface sends unusual and malformed raw requests to the fleet's own interface.
 func TestRawOwnInterface(t *testing.T) {
 	f, doors := newOwnDoors(t, 1)
 	doors[0].run(t, ownCases(f.keyPrefix(f.nodes[0])))
 }
 
-// TestRawKeyThatConnectionNames has a caller name its key in Connection, as if it were of this connection only, and go to
-// a node that passes the request on to the key's home. It runs once there, however often it comes.
+// TestRawKeyThatConnectionNames lists the key header in Connection, which marks it as hop-by-hop, and sends the request to
+// a node that forwards it to the key's home. The home must still run it only once, however often it arrives.
 func TestRawKeyThatConnectionNames(t *testing.T) {
 	f, doors := newOwnDoors(t, 2)
 	for _, named := range []string{"Tinladder-Key", "Tinladder-Key, Tinladder-Token, Tinladder-Service, Tinladder-Deadline-Ms"} {
