--- a/node/leave_resting_test.go
+++ b/node/leave_resting_test.go
@@ -31,13 +31,13 @@
 	f.calm(3)
 	f.ready(3, 1)
 	n := f.nodes[1]
-	var kept []*keptConn
+	var kept []*keepAliveConn
 	for i := range 400 {
-		c, err := keep(n.callers)
+		c, err := dialKeepAlive(n.callers)
 		is.NoErr(err)
 		defer func() { _ = c.Close() }()
 		kept = append(kept, c)
-		_, err = c.ask(fmt.Sprint("before-", i))
+		_, err = c.get(fmt.Sprint("before-", i))
 		is.NoErr(err)
 	}
 	var mu sync.Mutex
@@ -58,7 +58,7 @@
 				mu.Unlock()
 				return
 			}
-			status, err := c.ask(fmt.Sprint("after-", i))
+			status, err := c.get(fmt.Sprint("after-", i))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -79,22 +79,22 @@
 	is.True(time.Since(stopped) < 2*time.Second)
 }
 
-// A keptConn is a caller's keep-alive connection.
-type keptConn struct {
+// A keepAliveConn pairs a caller's connection with a reader for the responses on it.
+type keepAliveConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func keep(address string) (*keptConn, error) {
+func dialKeepAlive(address string) (*keepAliveConn, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &keptConn{Conn: c, reader: bufio.NewReader(c)}, nil
+	return &keepAliveConn{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
-// ask sends a repeatable request and reads the response.
-func (c *keptConn) ask(id string) (status int, err error) {
+// get sends a repeatable request and reads the response.
+func (c *keepAliveConn) get(id string) (status int, err error) {
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.WriteString(c, rawGet(id)); err != nil {
 		return 0, err
--- a/node/leave_short_test.go
+++ b/node/leave_short_test.go
@@ -16,8 +16,8 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// regrace changes the grace period of a running node by reloading its settings.
-func (f *fleet) regrace(n *testNode, grace string) {
+// setGracePeriod changes the grace period of a running node by reloading its settings.
+func (f *fleet) setGracePeriod(n *testNode, grace string) {
 	f.t.Helper()
 	b, err := os.ReadFile(n.path)
 	if err != nil {
@@ -33,9 +33,9 @@
 	f.eventually("the settings are read", func() bool { return strings.Contains(n.log.String(), "event=settings_reloaded") })
 }
 
-// longAtEnd stops a node while it serves a request that outlasts the grace period, then calls then. It returns the status
-// that the caller got, 0 without a complete response, and the time from the stop to the node's exit.
-func longAtEnd(f *fleet, grace string, then func(n *testNode)) (status int, took time.Duration) {
+// stopDuringLongRequest stops a node while it serves a request that outlasts the grace period, then calls then. It returns
+// the status that the caller got, 0 without a complete response, and the time from the stop to the node's exit.
+func stopDuringLongRequest(f *fleet, grace string, then func(n *testNode)) (status int, took time.Duration) {
 	is := is.New(f.t)
 	slow, err := standin.NewTarget(f.store, "i-1", "desk", "h0", 4, 2900*time.Millisecond)
 	is.NoErr(err)
@@ -46,7 +46,7 @@
 	f.ready(3, 1)
 	n := f.nodes[1]
 	if grace != "2s" {
-		f.regrace(n, grace)
+		f.setGracePeriod(n, grace)
 	}
 	c, err := net.Dial("tcp", n.callers)
 	is.NoErr(err)
@@ -77,7 +77,7 @@
 			is := is.New(t)
 			bound, err := time.ParseDuration(grace)
 			is.NoErr(err)
-			status, took := longAtEnd(newFleet(t, 2), grace, func(*testNode) {})
+			status, took := stopDuringLongRequest(newFleet(t, 2), grace, func(*testNode) {})
 			is.Equal(status, http.StatusBadGateway)
 			is.True(took < bound)
 		})
@@ -89,9 +89,9 @@
 func TestSettingsDoNotChangeAnEndThatHasBegun(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
-	status, took := longAtEnd(f, "2s", func(n *testNode) {
+	status, took := stopDuringLongRequest(f, "2s", func(n *testNode) {
 		time.Sleep(1200 * time.Millisecond)
-		f.regrace(n, "1s")
+		f.setGracePeriod(n, "1s")
 	})
 	is.True(took > 1800*time.Millisecond)
 	is.Equal(status, http.StatusBadGateway)
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -43,8 +43,8 @@
 	f.ready(3, 1)
 	n := f.nodes[2]
 	var mu sync.Mutex
-	bad := []string{}
-	sentAway := 0
+	failures := []string{}
+	closed := 0
 	stop := make(chan bool)
 	var wg sync.WaitGroup
 	for w := range 6 {
@@ -59,10 +59,10 @@
 				r := f.call(n, http.MethodPost, "/once/", id, "pay")
 				mu.Lock()
 				if r.header.Get("Connection") == "close" || r.status == http.StatusOK && r.header == nil {
-					sentAway++
+					closed++
 				}
 				if r.broken && ran(id, target) > 0 || !r.broken && r.status != http.StatusOK {
-					bad = append(bad, fmt.Sprint(id, " ", r.status, " broken ", r.broken))
+					failures = append(failures, fmt.Sprint(id, " ", r.status, " broken ", r.broken))
 				}
 				mu.Unlock()
 				if r.broken {
@@ -82,7 +82,7 @@
 	is.True(time.Since(start) < 2*time.Second) // the configured grace period
 	close(stop)
 	wg.Wait()
-	is.Equal(bad, []string{})
+	is.Equal(failures, []string{})
 }
 
 func TestDirectoryNamesNodesOfTheCallersHall(t *testing.T) {
--- a/node/leave_waits_test.go
+++ b/node/leave_waits_test.go
@@ -44,7 +44,7 @@
 			is.NoErr(err)
 			is.Equal(status, http.StatusServiceUnavailable)
 			if c.grace != "2s" {
-				f.regrace(n, c.grace)
+				f.setGracePeriod(n, c.grace)
 			}
 			stopped := time.Now()
 			n.stop()
--- a/node/raw_own_test.go
+++ b/node/raw_own_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	adminToken = "admin.raw"
-	ownToken   = "tuul.caller"
-	ownMark    = "Tinladder-Token: " + ownToken
+	adminToken     = "admin.raw"
+	ownToken       = "tuul.caller"
+	ownTokenHeader = "Tinladder-Token: " + ownToken
 )
 
-// newOwnDoors starts a fleet and returns its nodes' caller listeners, with a service of the fleet's own interface: /get/ is
+// newOwnServers starts a fleet and returns its nodes' caller listeners, with a service of the fleet's own interface: /get/ is
 // repeatable, /once/ runs once with a required key, and /free/ runs once with an optional key.
-func newOwnDoors(t testing.TB, nodes int) (*fleet, []*rawDoor) {
+func newOwnServers(t testing.TB, nodes int) (*fleet, []*rawDoor) {
 	hash := func(s string) []byte {
 		sum := sha256.Sum256([]byte(s))
 		return sum[:]
@@ -45,15 +45,15 @@
 		},
 		Targets: []*tlv1.Target{{Id: "t-1", Address: tap.address(), Slots: 3, Hall: "h0"}},
 	}}})
-	var doors []*rawDoor
+	var servers []*rawDoor
 	for _, n := range f.nodes {
-		d := &rawDoor{address: n.callers, marks: ownMark + "\r\n", target: target, tap: tap}
+		d := &rawDoor{address: n.callers, marks: ownTokenHeader + "\r\n", target: target, tap: tap}
 		f.eventually(n.name+" serves the service", func() bool {
-			return d.play(t, rawCase{send: get("warm", ownMark), want: "200 kept"}) == "200:warm kept"
+			return d.play(t, rawCase{send: get("warm", ownTokenHeader), want: "200 kept"}) == "200:warm kept"
 		})
-		doors = append(doors, d)
+		servers = append(servers, d)
 	}
-	return f, doors
+	return f, servers
 }
 
 // apply writes a document through the operator API, retrying until it is accepted.
@@ -99,7 +99,7 @@
 // ownCases returns the cases in which the fleet's own interface differs from the platform's.
 func ownCases(prefix string) []rawCase {
 	own := func(line string, lines ...string) string {
-		return head(append([]string{line, "Host: any", "X-Request-Id: a", ownMark}, lines...)...)
+		return head(append([]string{line, "Host: any", "X-Request-Id: a", ownTokenHeader}, lines...)...)
 	}
 	key := func(name string) string { return "Tinladder-Key: " + prefix + "~" + name }
 	const (
@@ -114,10 +114,10 @@
 		{"a token on a folded line", head(fetch, "Host: any", "X-Request-Id: a", "Tinladder-Token:\r\n "+ownToken), "200:a kept", "a: GET /get/a"},
 		{"no token", head(fetch, "Host: any", "X-Request-Id: a"), "503 kept", ""},
 		{"a wrong token", head(fetch, "Host: any", "Tinladder-Token: tuul.other"), "401 kept", ""},
-		{"a token with more behind it", head(fetch, "Host: any", ownMark+"\x80"), "401 kept", ""},
-		{"a token with a NUL", head(fetch, "Host: any", ownMark+"\x00"), "400 closed", ""},
+		{"a token with more behind it", head(fetch, "Host: any", ownTokenHeader+"\x80"), "401 kept", ""},
+		{"a token with a NUL", head(fetch, "Host: any", ownTokenHeader+"\x00"), "400 closed", ""},
 		{"a token with underscores", head(fetch, "Host: any", "Tinladder_Token: "+ownToken), "503 kept", ""},
-		{"a token in the trailer", head("POST /.tinladder/x HTTP/1.1", "Host: any", chunked) + "0\r\n" + ownMark + "\r\n\r\n", "401 kept", ""},
+		{"a token in the trailer", head("POST /.tinladder/x HTTP/1.1", "Host: any", chunked) + "0\r\n" + ownTokenHeader + "\r\n\r\n", "401 kept", ""},
 		{"two tokens", own(fetch, "Tinladder-Token: tuul.other"), "400 kept", ""},
 		{"two services", own(fetch, "Tinladder-Service: desk", "Tinladder-Service: other"), "400 kept", ""},
 		{"two deadlines", own(fetch, "Tinladder-Deadline-Ms: 100", "Tinladder-Deadline-Ms: 1"), "400 kept", ""},
@@ -139,7 +139,7 @@
 		{"a key whose body was broken", own(pay, key("bad"), chunked) + chunk("hello") + lastChunk, "503 kept", ""},
 		{"a key in the place of a body", own(pay, key("5"), "Content-Length: 200") + own(pay, key("6")), "open", ""},
 
-		{"another host in the absolute form", head("GET http://other/get/a HTTP/1.1", "Host: any", "X-Request-Id: a", ownMark), "200:a kept", "a: GET /get/a"},
+		{"another host in the absolute form", head("GET http://other/get/a HTTP/1.1", "Host: any", "X-Request-Id: a", ownTokenHeader), "200:a kept", "a: GET /get/a"},
 		{"a fragment", own("GET /get/a#b HTTP/1.1"), "400 kept", ""},
 		{"dots that lead to another route", own("GET /get/../once/a HTTP/1.1"), "400 kept", ""},
 		{"encoded dots that lead to another route", own("GET /get/%2e%2e%2fonce/a HTTP/1.1"), "400 kept", ""},
@@ -154,30 +154,30 @@
 		{"100-continue that is refused", own("POST /none/a HTTP/1.1", "Expect: 100-continue", five) + "hello", "404 closed", ""},
 		{"the first is refused with a request as its body", own("POST /none/a HTTP/1.1", fmt.Sprint("Content-Length: ", len(own(fetch)))) + own(fetch) + own(fetch), "404 200:a kept", "a: GET /get/a"},
 		{"a length over what is allowed", own(fetch, "Content-Length: 99999999999"), "413 closed", ""},
-		{"HTTP/1.0", head("GET /get/a HTTP/1.0", "X-Request-Id: a", ownMark), "200:a closed", "a: GET /get/a"},
+		{"HTTP/1.0", head("GET /get/a HTTP/1.0", "X-Request-Id: a", ownTokenHeader), "200:a closed", "a: GET /get/a"},
 		{"a header of 200 KB", own(fetch, "X-A: "+strings.Repeat("x", 200<<10)), "200:a kept", "a: GET /get/a"},
 	}
 }
 
 // TestRawOwnInterface sends unusual and malformed raw requests to the fleet's own interface.
 func TestRawOwnInterface(t *testing.T) {
-	f, doors := newOwnDoors(t, 1)
-	doors[0].run(t, ownCases(f.keyPrefix(f.nodes[0])))
+	f, servers := newOwnServers(t, 1)
+	servers[0].run(t, ownCases(f.keyPrefix(f.nodes[0])))
 }
 
 // TestRawKeyThatConnectionNames lists the key header in Connection, which marks it as hop-by-hop, and sends the request to
 // a node that forwards it to the key's home. The home must still run it only once, however often it arrives.
 func TestRawKeyThatConnectionNames(t *testing.T) {
-	f, doors := newOwnDoors(t, 2)
+	f, servers := newOwnServers(t, 2)
 	for _, named := range []string{"Tinladder-Key", "Tinladder-Key, Tinladder-Token, Tinladder-Service, Tinladder-Deadline-Ms"} {
 		key := fmt.Sprint("Tinladder-Key: ", f.keyPrefix(f.nodes[0]), "~once-", len(named))
-		for i, d := range []*rawDoor{doors[1], doors[0], doors[1]} {
+		for i, d := range []*rawDoor{servers[1], servers[0], servers[1]} {
 			seen := ""
 			if i == 0 {
 				seen = "a: POST /free/a hello"
 			}
 			d.run(t, []rawCase{{
-				fmt.Sprint(named, " time ", i+1), head("POST /free/a HTTP/1.1", "Host: any", "X-Request-Id: a", ownMark, key,
+				fmt.Sprint(named, " time ", i+1), head("POST /free/a HTTP/1.1", "Host: any", "X-Request-Id: a", ownTokenHeader, key,
 					"Connection: "+named, "Tinladder-Service: desk", "Tinladder-Deadline-Ms: 900", "Content-Length: 5") + "hello",
 				"200:a kept", seen,
 			}})
