--- a/node/leave_short_test.go
+++ b/node/leave_short_test.go
@@ -16,8 +16,8 @@
 	"github.com/tinladder/tinladder/platform/standin"
 )
 
-// regrace gives a running node another grace period.
-func (f *fleet) regrace(n *testNode, grace string) {
+// setGracePeriod changes the grace period of a running node by reloading its settings.
+func (f *fleet) setGracePeriod(n *testNode, grace string) {
 	f.t.Helper()
 	b, err := os.ReadFile(n.path)
 	if err != nil {
@@ -33,9 +33,9 @@
 	f.eventually("the settings are read", func() bool { return strings.Contains(n.log.String(), "event=settings_reloaded") })
 }
 
-// longAtEnd has one request at work at a node for longer than that has left, stops the node and does something. It returns
-// the status that the caller got, 0 if there was no whole answer, and how long the node took to end.
-func longAtEnd(f *fleet, grace string, then func(n *testNode)) (status int, took time.Duration) {
+// stopDuringLongRequest stops a node while it serves a request that outlasts the grace period, then calls then. It returns
+// the status that the caller got, 0 without a complete response, and the time from the stop to the node's exit.
+func stopDuringLongRequest(f *fleet, grace string, then func(n *testNode)) (status int, took time.Duration) {
 	is := is.New(f.t)
 	slow, err := standin.NewTarget(f.store, "i-1", "desk", "h0", 4, 2900*time.Millisecond)
 	is.NoErr(err)
@@ -46,7 +46,7 @@
 	f.ready(3, 1)
 	n := f.nodes[1]
 	if grace != "2s" {
-		f.regrace(n, grace)
+		f.setGracePeriod(n, grace)
 	}
 	c, err := net.Dial("tcp", n.callers)
 	is.NoErr(err)
@@ -69,29 +69,29 @@
 	return status, took
 }
 
-// A request that is at work as its node ends is answered by the node, and not cut. The steps of the end are shares of the
-// grace period, looked at every 20 ms: with a short one the last two were taken at once, and the request was cut.
+// A request still in flight when its node exits gets a response from the node. The steps of shutdown are fractions of the
+// grace period, checked every 20 ms: with a short one the last two once ran together, and the request was cut off.
 func TestShortGracePeriodAnswersToo(t *testing.T) {
 	for _, grace := range []string{"200ms", "500ms", "1s", "2s"} {
 		t.Run(grace, func(t *testing.T) {
 			is := is.New(t)
 			bound, err := time.ParseDuration(grace)
 			is.NoErr(err)
-			status, took := longAtEnd(newFleet(t, 2), grace, func(*testNode) {})
+			status, took := stopDuringLongRequest(newFleet(t, 2), grace, func(*testNode) {})
 			is.Equal(status, http.StatusBadGateway)
 			is.True(took < bound)
 		})
 	}
 }
 
-// The platform counts from its signal on, by the grace period that it had then. A shorter one in settings that came while a
-// node left ended it at once, with what was at work.
+// The platform measures the grace period from its signal on, with the value at that time. A shorter one in settings reloaded
+// during shutdown once made the node exit at once, which cut off requests in flight.
 func TestSettingsDoNotChangeAnEndThatHasBegun(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
-	status, took := longAtEnd(f, "2s", func(n *testNode) {
+	status, took := stopDuringLongRequest(f, "2s", func(n *testNode) {
 		time.Sleep(1200 * time.Millisecond)
-		f.regrace(n, "1s")
+		f.setGracePeriod(n, "1s")
 	})
 	is.True(took > 1800*time.Millisecond)
 	is.Equal(status, http.StatusBadGateway)
