--- a/node/raw_body_test.go
+++ b/node/raw_body_test.go
@@ -79,12 +79,12 @@
 
 // TestRawBodies has callers send odd chunks and trailers.
 func TestRawBodies(t *testing.T) {
-	newRawDoor(t).run(t, bodyCases())
+	newRawServer(t).run(t, bodyCases())
 }
 
 // TestRawOrder has callers send several requests at once, and expect things.
 func TestRawOrder(t *testing.T) {
-	newRawDoor(t).run(t, orderCases())
+	newRawServer(t).run(t, orderCases())
 }
 
 // brokenBodyCases have bodies that no reader could tell the end of, or that grow too large.
@@ -135,11 +135,11 @@
 // TestRawBrokenBodies has callers send bodies that are none. Each is told so at once, and the target never gets a
 // whole request.
 func TestRawBrokenBodies(t *testing.T) {
-	newRawDoor(t).run(t, brokenBodyCases())
+	newRawServer(t).run(t, brokenBodyCases())
 }
 
-// waitingCases are refused while their body has not come.
-func waitingCases() []rawCase {
+// missingBodyCases are refused while their body has not come.
+func missingBodyCases() []rawCase {
 	none := func(lines ...string) string {
 		return head(append([]string{"POST /other/ HTTP/1.1", "Host: shop"}, lines...)...)
 	}
@@ -154,16 +154,16 @@
 // TestRawRefusalsDoNotWait has callers be refused who do not send the body that they told of. They are answered, and
 // their connections end.
 func TestRawRefusalsDoNotWait(t *testing.T) {
-	d := newRawDoor(t)
+	d := newRawServer(t)
 	start := time.Now()
-	d.run(t, waitingCases())
+	d.run(t, missingBodyCases())
 	is.New(t).True(time.Since(start) < 6*time.Second)
 }
 
 // TestRawRefusalAfterRest has a connection rest for longer than its last request had, and then ask for what is refused.
 // The bounds of one request do not hold for the next.
 func TestRawRefusalAfterRest(t *testing.T) {
-	d := newRawDoor(t)
+	d := newRawServer(t)
 	for _, c := range []rawCase{
 		{"no route", head("GET /other/ HTTP/1.1", "Host: shop"), "404 kept", ""},
 		{"no route for a body", head("POST /other/ HTTP/1.1", "Host: shop", "Content-Length: 5") + "hello", "404 kept", ""},
@@ -174,9 +174,9 @@
 			nc, r := d.dial(t)
 			_, err := io.WriteString(nc, get("a", "X-Deadline-Ms: 100"))
 			is.NoErr(err)
-			answer, err := readAnswer(r, http.MethodGet)
+			response, err := readRawResponse(r, http.MethodGet)
 			is.NoErr(err)
-			is.Equal(answer, "200:a")
+			is.Equal(response, "200:a")
 			time.Sleep(time.Second)
 			is.Equal(d.playOn(nc, r, c), c.want)
 		})
--- a/node/raw_framing_test.go
+++ b/node/raw_framing_test.go
@@ -87,7 +87,7 @@
 
 // TestRawFraming has callers say in odd ways how long a body is.
 func TestRawFraming(t *testing.T) {
-	newRawDoor(t).run(t, framingCases())
+	newRawServer(t).run(t, framingCases())
 }
 
 // ambiguousCases have two things say how long a body is, so that two readers may find different requests.
@@ -109,5 +109,5 @@
 
 // TestRawAmbiguousLengths has callers say in two ways how long a body is. None of it runs.
 func TestRawAmbiguousLengths(t *testing.T) {
-	newRawDoor(t).run(t, ambiguousCases())
+	newRawServer(t).run(t, ambiguousCases())
 }
--- a/node/raw_fuzz_test.go
+++ b/node/raw_fuzz_test.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// fuzzedBytes is the longest case that fuzzing begins with.
-	fuzzedBytes = 4 << 10
-	// lastWord is how long the door may take to answer what is no request, and lull how long it is watched when all
+	// maxSeedBytes is the longest case that fuzzing begins with.
+	maxSeedBytes = 4 << 10
+	// fuzzErrorTimeout is how long the door may take to answer what is no request, and lull how long it is watched when all
 	// requests have been answered.
-	lastWord = 60 * time.Millisecond
-	lull     = 8 * time.Millisecond
+	fuzzErrorTimeout = 60 * time.Millisecond
+	fuzzIdleTimeout  = 8 * time.Millisecond
 )
 
-// madeUp is the form of ids that the door gives to requests without one.
-var madeUp = regexp.MustCompile("^[0-9a-f]{1,16}$")
+// generatedID is the form of ids that the door gives to requests without one.
+var generatedID = regexp.MustCompile("^[0-9a-f]{1,16}$")
 
 // FuzzRaw has a caller write any bytes. The target never sees a request that does not stand in them by a strict reading,
 // nor one more often than it stands there, and nothing that is malformed is answered as if it were a request.
 func FuzzRaw(f *testing.F) {
 	for _, cases := range [][]rawCase{framingCases(), lineCases(), targetCases(), formCases(), bodyCases(), brokenBodyCases(), orderCases(), ambiguousCases()} {
 		for _, c := range cases {
-			if len(c.send) <= fuzzedBytes {
+			if len(c.send) <= maxSeedBytes {
 				f.Add([]byte(c.send))
 			}
 		}
 	}
-	d := newRawDoor(f)
+	d := newRawServer(f)
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		d.tap.forget()
+		d.proxy.reset()
 		d.target.Forget()
-		list, err := strictly(string(sent), asTheDoor)
-		answers := d.answers(t, sent, list, err != nil)
-		for i, status := range answers {
+		list, err := parseStrict(string(sent), serverStrictness)
+		statuses := d.statuses(t, sent, list, err != nil)
+		for i, status := range statuses {
 			if i >= len(list) && status < http.StatusMultipleChoices {
 				t.Fatalf("answer %d is %d, but %d requests were sent, %v: %q", i, status, len(list), err, sent)
 			}
@@ -53,20 +53,20 @@
 			if s.Cut {
 				continue // no target takes it for a request
 			}
-			i := slices.IndexFunc(list, func(r strictRequest) bool { return r.isSeenAs(s) })
+			i := slices.IndexFunc(list, func(r strictRequest) bool { return r.matches(s) })
 			if i < 0 {
-				t.Fatalf("nobody sent %q: %q", shown([]standin.Seen{s}), sent)
+				t.Fatalf("nobody sent %q: %q", formatSeen([]standin.Seen{s}), sent)
 			}
 			list = slices.Delete(list, i, i+1)
 		}
-		if err := d.tap.check(seen); err != nil {
+		if err := d.proxy.check(seen); err != nil {
 			t.Fatalf("%v: %q", err, sent)
 		}
 	})
 }
 
-// answers writes the bytes and returns the final statuses of what comes back.
-func (d *rawDoor) answers(t *testing.T, sent []byte, list []strictRequest, more bool) (statuses []int) {
+// statuses writes the bytes and returns the final statuses of what comes back.
+func (d *rawServer) statuses(t *testing.T, sent []byte, list []strictRequest, more bool) (statuses []int) {
 	nc, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
@@ -75,12 +75,12 @@
 	go func() { _, _ = nc.Write(sent) }()
 	r := bufio.NewReader(nc)
 	for {
-		patience := rawPatience
+		patience := rawTimeout
 		switch {
 		case len(statuses) >= len(list) && more:
-			patience = lastWord
+			patience = fuzzErrorTimeout
 		case len(statuses) >= len(list):
-			patience = lull
+			patience = fuzzIdleTimeout
 		}
 		_ = nc.SetReadDeadline(time.Now().Add(patience))
 		asked := &http.Request{Method: http.MethodGet}
@@ -98,11 +98,11 @@
 	}
 }
 
-// isSeenAs says whether a target may see the request so.
-func (r *strictRequest) isSeenAs(s standin.Seen) bool {
+// matches says whether a target may see the request so.
+func (r *strictRequest) matches(s standin.Seen) bool {
 	target := reading.OriginForm(&http.Request{RequestURI: r.target})
 	ids := r.values("X-Request-Id")
 	named := len(ids) > 0 && s.ID == ids[0]
-	return r.method == s.Method && target == s.Path && r.body == s.Body && (named || madeUp.MatchString(s.ID)) &&
+	return r.method == s.Method && target == s.Path && r.body == s.Body && (named || generatedID.MatchString(s.ID)) &&
 		!strings.ContainsAny(s.ID, "\r\n")
 }
--- a/node/raw_lines_test.go
+++ b/node/raw_lines_test.go
@@ -64,7 +64,7 @@
 
 // TestRawLines has callers write odd header lines and line ends.
 func TestRawLines(t *testing.T) {
-	newRawDoor(t).run(t, lineCases())
+	newRawServer(t).run(t, lineCases())
 }
 
 // largeHeaderCases have headers that are much larger than a node takes.
@@ -79,8 +79,8 @@
 	}
 }
 
-// longCases are refused by their headers, and have long bodies behind them.
-func longCases() []rawCase {
+// longBodyCases are refused by their headers, and have long bodies behind them.
+func longBodyCases() []rawCase {
 	long := strings.Repeat("x", 1<<20)
 	return []rawCase{
 		{"a malformed header", post("a", "X-A : b", "Content-Length: 1048576") + long, "400 closed", ""},
@@ -97,5 +97,5 @@
 // TestRawAnswersArriveWhole has callers be refused while they send, by very large headers and before long bodies. Each gets
 // its answer whole, and no reset in its place.
 func TestRawAnswersArriveWhole(t *testing.T) {
-	newRawDoor(t).run(t, append(largeHeaderCases(), longCases()...))
+	newRawServer(t).run(t, append(largeHeaderCases(), longBodyCases()...))
 }
--- a/node/raw_own_test.go
+++ b/node/raw_own_test.go
@@ -23,7 +23,7 @@
 
 // newOwnDoors opens callers' doors to a service of the fleet's own interface: /get/ may be repeated, /once/ runs once,
 // and /free/ may have no key.
-func newOwnDoors(t testing.TB, nodes int) (*fleet, []*rawDoor) {
+func newOwnDoors(t testing.TB, nodes int) (*fleet, []*rawServer) {
 	hash := func(s string) []byte {
 		sum := sha256.Sum256([]byte(s))
 		return sum[:]
@@ -32,7 +32,7 @@
 		return fmt.Sprintf("[operators]\nadmin_token_sha256 = %q\n", hex.EncodeToString(hash(adminToken)))
 	}})
 	target := f.target("i-1", "none")
-	tap := newTap(t, target.Address())
+	tap := newRecordingProxy(t, target.Address())
 	f.apply(&tlv1.Document{Key: "ws/tuul", Body: &tlv1.Document_Workspace{Workspace: &tlv1.Workspace{
 		Name: "tuul", TokenSha256: [][]byte{hash("tuul.operator")}, CallerTokenSha256: [][]byte{hash(ownToken)},
 	}}})
@@ -45,9 +45,9 @@
 		},
 		Targets: []*tlv1.Target{{Id: "t-1", Address: tap.address(), Slots: 3, Hall: "h0"}},
 	}}})
-	var doors []*rawDoor
+	var doors []*rawServer
 	for _, n := range f.nodes {
-		d := &rawDoor{address: n.callers, marks: ownMark + "\r\n", target: target, tap: tap}
+		d := &rawServer{address: n.callers, probeHeaders: ownMark + "\r\n", target: target, proxy: tap}
 		f.eventually(n.name+" serves the service", func() bool {
 			return d.play(t, rawCase{send: get("warm", ownMark), want: "200 kept"}) == "200:warm kept"
 		})
@@ -171,7 +171,7 @@
 	f, doors := newOwnDoors(t, 2)
 	for _, named := range []string{"Tinladder-Key", "Tinladder-Key, Tinladder-Token, Tinladder-Service, Tinladder-Deadline-Ms"} {
 		key := fmt.Sprint("Tinladder-Key: ", f.keyPrefix(f.nodes[0]), "~once-", len(named))
-		for i, d := range []*rawDoor{doors[1], doors[0], doors[1]} {
+		for i, d := range []*rawServer{doors[1], doors[0], doors[1]} {
 			seen := ""
 			if i == 0 {
 				seen = "a: POST /free/a hello"
--- a/node/raw_strict_test.go
+++ b/node/raw_strict_test.go
@@ -16,8 +16,8 @@
 
 var (
 	strictest = strictness{}
-	// asTheDoor is what the callers' door takes.
-	asTheDoor = strictness{bareLF: true, folded: true, emptyLines: true}
+	// serverStrictness is what the callers' door takes.
+	serverStrictness = strictness{bareLF: true, folded: true, emptyLines: true}
 )
 
 // A strictRequest is one request as it stands in a caller's bytes.
@@ -40,26 +40,26 @@
 
 // closes says that no request may follow on the connection.
 func (r *strictRequest) closes() bool {
-	stays := r.proto != "HTTP/1.0"
+	persistent := r.proto != "HTTP/1.0"
 	for _, v := range r.values("Connection") {
 		for option := range strings.SplitSeq(v, ",") {
 			switch strings.ToLower(strings.TrimSpace(option)) {
 			case "close":
 				return true
 			case "keep-alive":
-				stays = true
+				persistent = true
 			}
 		}
 	}
-	return !stays
+	return !persistent
 }
 
-var errCutOff = errors.New("the bytes end within a request")
+var errIncomplete = errors.New("the bytes end within a request")
 
-// strictly reads requests until the bytes end, or one of them is not well-formed. It shares no code with the library
+// parseStrict reads requests until the bytes end, or one of them is not well-formed. It shares no code with the library
 // that the door reads with.
-func strictly(s string, how strictness) (list []strictRequest, err error) {
-	p := &strictReader{rest: s, how: how}
+func parseStrict(s string, allowed strictness) (list []strictRequest, err error) {
+	p := &strictReader{rest: s, strictness: allowed}
 	for p.rest != "" {
 		r, err := p.request()
 		if err != nil {
@@ -69,7 +69,7 @@
 		if r.closes() {
 			return list, nil
 		}
-		for i := 0; how.emptyLines && r.method == "POST" && i < 4 && strings.IndexAny(p.rest, "\r\n") == 0; i++ {
+		for i := 0; allowed.emptyLines && r.method == "POST" && i < 4 && strings.IndexAny(p.rest, "\r\n") == 0; i++ {
 			p.rest = p.rest[1:]
 		}
 	}
@@ -77,15 +77,15 @@
 }
 
 type strictReader struct {
-	rest string
-	how  strictness
+	rest       string
+	strictness strictness
 }
 
 // line takes a line with its end.
 func (p *strictReader) line(bareLF bool) (string, error) {
 	i := strings.IndexByte(p.rest, '\n')
 	if i < 0 {
-		return "", errCutOff
+		return "", errIncomplete
 	}
 	line, ended := strings.CutSuffix(p.rest[:i], "\r")
 	p.rest = p.rest[i+1:]
@@ -96,7 +96,7 @@
 }
 
 func (p *strictReader) request() (r strictRequest, err error) {
-	line, err := p.line(p.how.bareLF)
+	line, err := p.line(p.strictness.bareLF)
 	if err != nil {
 		return r, err
 	}
@@ -120,12 +120,12 @@
 
 func (p *strictReader) fields() (list []field, err error) {
 	for {
-		line, err := p.line(p.how.bareLF)
+		line, err := p.line(p.strictness.bareLF)
 		if err != nil || line == "" {
 			return list, err
 		}
 		if line[0] == ' ' || line[0] == '\t' {
-			if !p.how.folded || len(list) == 0 {
+			if !p.strictness.folded || len(list) == 0 {
 				return nil, errors.New("folded line")
 			}
 			last := &list[len(list)-1]
@@ -163,7 +163,7 @@
 
 func (p *strictReader) take(n uint64) (string, error) {
 	if n > uint64(len(p.rest)) {
-		return "", errCutOff
+		return "", errIncomplete
 	}
 	s := p.rest[:n]
 	p.rest = p.rest[n:]
--- a/node/raw_target_test.go
+++ b/node/raw_target_test.go
@@ -91,7 +91,7 @@
 
 // TestRawTargets has callers ask for odd paths and hosts, in odd ways.
 func TestRawTargets(t *testing.T) {
-	newRawDoor(t).run(t, targetCases())
+	newRawServer(t).run(t, targetCases())
 }
 
 // formCases ask for targets in forms that a target may read in another way than the route.
@@ -139,5 +139,5 @@
 
 // TestRawForms has callers ask in forms that a target may read in another way than the route.
 func TestRawForms(t *testing.T) {
-	newRawDoor(t).run(t, formCases())
+	newRawServer(t).run(t, formCases())
 }
--- a/node/raw_test.go
+++ b/node/raw_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// rawPatience is how long an answer may take, and rawQuiet how long nothing more comes once all have come.
-	rawPatience = 3 * time.Second
-	rawQuiet    = 40 * time.Millisecond
+	// rawTimeout is how long an answer may take, and rawQuiet how long nothing more comes once all have come.
+	rawTimeout = 3 * time.Second
+	rawIdleTimeout    = 40 * time.Millisecond
 	// probeID is the request that is sent after a case's bytes, on the same connection.
 	probeID = "probe"
-	// shownBody is the longest body that is shown as it is.
-	shownBody = 32
+	// maxShownBody is the longest body that is shown as it is.
+	maxShownBody = 32
 )
 
 // A rawCase is what a caller writes on one connection, and what becomes of it.
@@ -38,55 +38,55 @@
 	seen string
 }
 
-// A rawDoor is a node's callers' door, with a target whose requests are kept byte by byte.
-type rawDoor struct {
+// A rawServer is a node's callers' door, with a target whose requests are kept byte by byte.
+type rawServer struct {
 	address string
-	// marks are further header lines of the probe.
-	marks  string
+	// probeHeaders are further header lines of the probe.
+	probeHeaders  string
 	target *standin.Target
-	tap    *tap
+	proxy    *recordingProxy
 }
 
-// newRawDoor opens a door to the routes /get/ and /once/ of host "shop", and / and /once/ of host "all".
-func newRawDoor(t testing.TB) *rawDoor {
+// newRawServer opens a door to the routes /get/ and /once/ of host "shop", and / and /once/ of host "all".
+func newRawServer(t testing.TB) *rawServer {
 	f := newFleet(t, 1)
 	target := f.target("i-1", "desk")
-	tap := newTap(t, target.Address())
-	f.store.Put("servers", target.ID, standin.TargetRow(tap.address(), target.Service, target.Hall, "ready", target.Slots))
+	proxy := newRecordingProxy(t, target.Address())
+	f.store.Put("servers", target.ID, standin.TargetRow(proxy.address(), target.Service, target.Hall, "ready", target.Slots))
 	all, once := route("/", standin.Repeatable, "desk"), route("/once/", standin.RunOnce, "desk")
 	all.Name, all.Host, once.Name, once.Host = "all", "all", "all-once", "all"
 	f.store.Configure(3, []string{"desk"}, route("/get/", standin.Repeatable, "desk"), route("/once/", standin.RunOnce, "desk"), all, once)
 	f.ready(3, 1)
-	return &rawDoor{address: f.nodes[0].callers, target: target, tap: tap}
+	return &rawServer{address: f.nodes[0].callers, target: target, proxy: proxy}
 }
 
 // run plays the cases one after another.
-func (d *rawDoor) run(t *testing.T, cases []rawCase) {
+func (d *rawServer) run(t *testing.T, cases []rawCase) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d.tap.forget()
+			d.proxy.reset()
 			before := len(d.target.Seen())
 			got := d.play(t, c)
 			is.Equal(got, c.want)
 			seen := d.target.Seen()[before:]
-			for end := time.Now().Add(rawPatience); strings.HasSuffix(c.seen, "cut") && len(seen) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(rawTimeout); strings.HasSuffix(c.seen, "cut") && len(seen) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 				seen = d.target.Seen()[before:] // it notes one that is cut when its connection ends
 			}
-			is.Equal(shown(seen), c.seen)
-			is.NoErr(d.tap.check(seen))
+			is.Equal(formatSeen(seen), c.seen)
+			is.NoErr(d.proxy.check(seen))
 		})
 	}
 }
 
 // play writes the case's bytes, reads what comes back, and tries the connection with a further request.
-func (d *rawDoor) play(t testing.TB, c rawCase) string {
+func (d *rawServer) play(t testing.TB, c rawCase) string {
 	nc, r := d.dial(t)
 	defer func() { _ = nc.Close() }()
 	return d.playOn(nc, r, c)
 }
 
-func (d *rawDoor) dial(t testing.TB) (net.Conn, *bufio.Reader) {
+func (d *rawServer) dial(t testing.TB) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("tcp", d.address)
 	if err != nil {
@@ -97,18 +97,18 @@
 }
 
 // playOn plays the case on a connection that is open.
-func (d *rawDoor) playOn(nc net.Conn, r *bufio.Reader, c rawCase) string {
+func (d *rawServer) playOn(nc net.Conn, r *bufio.Reader, c rawCase) string {
 	go func() { _, _ = io.WriteString(nc, c.send) }()
 	method, _, _ := strings.Cut(c.send, " ")
 	var got []string
 	expected := len(strings.Fields(c.want)) - 1
 	for {
-		patience := rawPatience
+		timeout := rawTimeout
 		if len(got) >= expected {
-			patience = rawQuiet
+			timeout = rawIdleTimeout
 		}
-		_ = nc.SetReadDeadline(time.Now().Add(patience))
-		answer, err := readAnswer(r, method)
+		_ = nc.SetReadDeadline(time.Now().Add(timeout))
+		response, err := readRawResponse(r, method)
 		method = http.MethodGet
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && strings.HasSuffix(c.want, "open"):
@@ -118,27 +118,27 @@
 		case err != nil:
 			return strings.Join(append(got, "closed"), " ")
 		}
-		got = append(got, answer)
+		got = append(got, response)
 	}
 }
 
-func (d *rawDoor) probe(nc net.Conn, r *bufio.Reader) string {
-	_, _ = io.WriteString(nc, "GET /get/ HTTP/1.1\r\nHost: shop\r\n"+d.marks+"X-Request-Id: "+probeID+"\r\n\r\n")
-	_ = nc.SetReadDeadline(time.Now().Add(rawPatience))
-	answer, err := readAnswer(r, http.MethodGet)
+func (d *rawServer) probe(nc net.Conn, r *bufio.Reader) string {
+	_, _ = io.WriteString(nc, "GET /get/ HTTP/1.1\r\nHost: shop\r\n"+d.probeHeaders+"X-Request-Id: "+probeID+"\r\n\r\n")
+	_ = nc.SetReadDeadline(time.Now().Add(rawTimeout))
+	response, err := readRawResponse(r, http.MethodGet)
 	switch {
-	case err == nil && answer == "200:"+probeID:
+	case err == nil && response == "200:"+probeID:
 		return "kept"
 	case err == nil:
-		return "probe got " + answer
+		return "probe got " + response
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "stuck"
 	}
 	return "closed"
 }
 
-// readAnswer returns an answer's status, and the id that it names if it is a target's.
-func readAnswer(r *bufio.Reader, method string) (string, error) {
+// readRawResponse returns an answer's status, and the id that it names if it is a target's.
+func readRawResponse(r *bufio.Reader, method string) (string, error) {
 	if _, err := r.Peek(1); err != nil {
 		return "", err
 	}
@@ -155,8 +155,8 @@
 	return fmt.Sprint(res.StatusCode), nil
 }
 
-// shown returns the requests but for probes.
-func shown(seen []standin.Seen) string {
+// formatSeen returns the requests but for probes.
+func formatSeen(seen []standin.Seen) string {
 	var list []string
 	for _, s := range seen {
 		if s.ID == probeID {
@@ -166,7 +166,7 @@
 		switch {
 		case s.Cut:
 			body = "cut"
-		case len(body) > shownBody:
+		case len(body) > maxShownBody:
 			body = fmt.Sprint(len(body), " bytes")
 		}
 		list = append(list, strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", s.ID, s.Method, s.Path, body)))
@@ -198,31 +198,31 @@
 	chunked   = "Transfer-Encoding: chunked"
 )
 
-// A tap stands before a target and keeps what comes, by connection.
-type tap struct {
+// A recordingProxy stands before a target and keeps what comes, by connection.
+type recordingProxy struct {
 	listener net.Listener
 	to       string
 
 	mu    sync.Mutex
-	conns []*strings.Builder
+	received []*strings.Builder
 }
 
-func newTap(t testing.TB, to string) *tap {
+func newRecordingProxy(t testing.TB, to string) *recordingProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	p := &tap{listener: l, to: to}
+	p := &recordingProxy{listener: l, to: to}
 	go p.accept()
 	return p
 }
 
-func (p *tap) address() string {
+func (p *recordingProxy) address() string {
 	return p.listener.Addr().String()
 }
 
-func (p *tap) accept() {
+func (p *recordingProxy) accept() {
 	for {
 		from, err := p.listener.Accept()
 		if err != nil {
@@ -234,15 +234,15 @@
 			continue
 		}
 		p.mu.Lock()
-		kept := &strings.Builder{}
-		p.conns = append(p.conns, kept)
+		received := &strings.Builder{}
+		p.received = append(p.received, received)
 		p.mu.Unlock()
-		go p.carry(from, to, kept)
-		go p.carry(to, from, &strings.Builder{})
+		go p.relay(from, to, received)
+		go p.relay(to, from, &strings.Builder{})
 	}
 }
 
-func (p *tap) carry(from, to net.Conn, kept *strings.Builder) {
+func (p *recordingProxy) relay(from, to net.Conn, received *strings.Builder) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
@@ -251,7 +251,7 @@
 	for {
 		n, err := from.Read(buf)
 		p.mu.Lock()
-		kept.Write(buf[:n])
+		received.Write(buf[:n])
 		p.mu.Unlock()
 		if _, werr := to.Write(buf[:n]); err != nil || werr != nil {
 			return
@@ -259,28 +259,28 @@
 	}
 }
 
-// forget drops what has come.
-func (p *tap) forget() {
+// reset drops what has come.
+func (p *recordingProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, kept := range p.conns {
-		kept.Reset()
+	for _, received := range p.received {
+		received.Reset()
 	}
 }
 
 // check returns an error unless all that has come are these requests, each written as it should be.
-func (p *tap) check(seen []standin.Seen) error {
+func (p *recordingProxy) check(seen []standin.Seen) error {
 	requests, cut := len(seen), slices.ContainsFunc(seen, func(s standin.Seen) bool { return s.Cut })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, kept := range p.conns {
-		list, err := strictly(kept.String(), strictest)
-		if cut && errors.Is(err, errCutOff) {
+	for _, received := range p.received {
+		list, err := parseStrict(received.String(), strictest)
+		if cut && errors.Is(err, errIncomplete) {
 			cut, err = false, nil
 			requests--
 		}
 		if err != nil {
-			return fmt.Errorf("%w in %q", err, kept.String()[:min(kept.Len(), 2048)])
+			return fmt.Errorf("%w in %q", err, received.String()[:min(received.Len(), 2048)])
 		}
 		requests -= len(list)
 	}
