--- a/node/raw_test.go
+++ b/node/raw_test.go
@@ -19,35 +19,36 @@
 )
 
 const (
-	// rawTimeout is how long an answer may take, and rawQuiet how long nothing more comes once all have come.
+	// rawTimeout bounds the wait for a response. rawIdleTimeout is how long play waits for further responses once the
+	// expected ones have arrived.
 	rawTimeout = 3 * time.Second
 	rawIdleTimeout    = 40 * time.Millisecond
-	// probeID is the request that is sent after a case's bytes, on the same connection.
+	// probeID is the id of the request that is sent after a case's bytes, on the same connection.
 	probeID = "probe"
-	// maxShownBody is the longest body that is shown as it is.
+	// maxShownBody is the longest body in bytes that formatSeen prints in full.
 	maxShownBody = 32
 )
 
-// A rawCase is what a caller writes on one connection, and what becomes of it.
+// A rawCase is the bytes that a caller writes on one connection, and the expected outcome.
 type rawCase struct {
 	name, send string
-	// want are the answers in order, each a status and for a target's answer the id that it names, and then what becomes of the
-	// connection: "kept" if it serves a further request, "closed", or "open" if the node waits for more.
+	// want lists the responses in order, each as its status, with ":id" if it comes from a target, and then the state of
+	// the connection: "kept" if it serves another request, "closed", or "open" if the node waits for more bytes.
 	want string
-	// seen are the requests that reached the target, each as id, method, path and body.
+	// seen lists the requests that reached the target, each as id, method, path and body.
 	seen string
 }
 
-// A rawServer is a node's callers' door, with a target whose requests are kept byte by byte.
+// A rawServer is a node's listener for callers, with a target behind a proxy that records the bytes sent to it.
 type rawServer struct {
 	address string
-	// probeHeaders are further header lines of the probe.
+	// probeHeaders holds additional header lines of the probe, each with its CRLF.
 	probeHeaders  string
 	target *standin.Target
 	proxy    *recordingProxy
 }
 
-// newRawServer opens a door to the routes /get/ and /once/ of host "shop", and / and /once/ of host "all".
+// newRawServer starts a node with the routes /get/ and /once/ of host "shop", and / and /once/ of host "all".
 func newRawServer(t testing.TB) *rawServer {
 	f := newFleet(t, 1)
 	target := f.target("i-1", "desk")
@@ -60,7 +61,7 @@
 	return &rawServer{address: f.nodes[0].callers, target: target, proxy: proxy}
 }
 
-// run plays the cases one after another.
+// run runs the cases in order, each as a subtest.
 func (d *rawServer) run(t *testing.T, cases []rawCase) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +72,7 @@
 			is.Equal(got, c.want)
 			seen := d.target.Seen()[before:]
 			for end := time.Now().Add(rawTimeout); strings.HasSuffix(c.seen, "cut") && len(seen) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-				seen = d.target.Seen()[before:] // it notes one that is cut when its connection ends
+				seen = d.target.Seen()[before:] // a truncated request is recorded only when its connection ends
 			}
 			is.Equal(formatSeen(seen), c.seen)
 			is.NoErr(d.proxy.check(seen))
@@ -79,7 +80,7 @@
 	}
 }
 
-// play writes the case's bytes, reads what comes back, and tries the connection with a further request.
+// play writes the case's bytes on a new connection, reads the responses, and probes whether the connection still serves.
 func (d *rawServer) play(t testing.TB, c rawCase) string {
 	nc, r := d.dial(t)
 	defer func() { _ = nc.Close() }()
@@ -96,7 +97,7 @@
 	return nc, bufio.NewReader(nc)
 }
 
-// playOn plays the case on a connection that is open.
+// playOn is play on an open connection.
 func (d *rawServer) playOn(nc net.Conn, r *bufio.Reader, c rawCase) string {
 	go func() { _, _ = io.WriteString(nc, c.send) }()
 	method, _, _ := strings.Cut(c.send, " ")
@@ -137,7 +138,7 @@
 	return "closed"
 }
 
-// readRawResponse returns an answer's status, and the id that it names if it is a target's.
+// readRawResponse returns a response's status, followed by ":id" if a target sent it.
 func readRawResponse(r *bufio.Reader, method string) (string, error) {
 	if _, err := r.Peek(1); err != nil {
 		return "", err
@@ -155,7 +156,7 @@
 	return fmt.Sprint(res.StatusCode), nil
 }
 
-// formatSeen returns the requests but for probes.
+// formatSeen formats the requests as in rawCase.seen, without probes.
 func formatSeen(seen []standin.Seen) string {
 	var list []string
 	for _, s := range seen {
@@ -174,12 +175,12 @@
 	return strings.Join(list, ", ")
 }
 
-// head is a request's line and header as they should be written.
+// head joins a request line and header lines with CRLF and ends the header.
 func head(lines ...string) string {
 	return strings.Join(lines, "\r\n") + "\r\n\r\n"
 }
 
-// get and post are requests with the id and these further header lines.
+// get returns a GET request with the id and additional header lines; post, the header of a POST request.
 func get(id string, lines ...string) string {
 	return head(append([]string{"GET /get/" + id + " HTTP/1.1", "Host: shop", "X-Request-Id: " + id}, lines...)...)
 }
@@ -188,7 +189,7 @@
 	return head(append([]string{"POST /get/" + id + " HTTP/1.1", "Host: shop", "X-Request-Id: " + id}, lines...)...)
 }
 
-// chunk is a piece of a chunked body, and lastChunk its end.
+// chunk encodes one chunk of a chunked body; lastChunk ends the body.
 func chunk(s string) string {
 	return fmt.Sprintf("%x\r\n%s\r\n", len(s), s)
 }
@@ -198,7 +199,7 @@
 	chunked   = "Transfer-Encoding: chunked"
 )
 
-// A recordingProxy stands before a target and keeps what comes, by connection.
+// A recordingProxy forwards TCP connections to a target and records the bytes sent to it, by connection.
 type recordingProxy struct {
 	listener net.Listener
 	to       string
@@ -259,7 +260,7 @@
 	}
 }
 
-// reset drops what has come.
+// reset discards the recorded bytes.
 func (p *recordingProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -268,7 +269,8 @@
 	}
 }
 
-// check returns an error unless all that has come are these requests, each written as it should be.
+// check returns an error unless the recorded bytes are exactly the seen requests, each well-formed by the strictest
+// reading. One of them may be truncated.
 func (p *recordingProxy) check(seen []standin.Seen) error {
 	requests, cut := len(seen), slices.ContainsFunc(seen, func(s standin.Seen) bool { return s.Cut })
 	p.mu.Lock()
@@ -285,7 +287,7 @@
 		requests -= len(list)
 	}
 	if requests != 0 {
-		return fmt.Errorf("%d requests more were seen than came", requests)
+		return fmt.Errorf("%d more requests were seen by the target than recorded by the proxy", requests)
 	}
 	return nil
 }
