--- a/node/raw_strict_test.go
+++ b/node/raw_strict_test.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// A strictness says which forms a strict reader takes that RFC 9112 lets a recipient take and no sender write.
+// A strictness selects the forms that a strictReader accepts although RFC 9112 forbids senders to generate them.
 type strictness struct {
-	// bareLF is a header line's end without CR (2.2), folded a header line in several (5.2), and emptyLines are two ends of
-	// lines behind the body of a POST (2.2).
+	// bareLF accepts a line end without CR (section 2.2), folded accepts folded header lines (5.2), and emptyLines accepts
+	// up to four CR or LF bytes after a POST request (2.2).
 	bareLF, folded, emptyLines bool
 }
 
 var (
 	strictest = strictness{}
-	// serverStrictness is what the callers' door takes.
+	// serverStrictness is what the node's listener for callers accepts.
 	serverStrictness = strictness{bareLF: true, folded: true, emptyLines: true}
 )
 
-// A strictRequest is one request as it stands in a caller's bytes.
+// A strictRequest is one request as parsed from raw bytes.
 type strictRequest struct {
 	method, target, proto, body string
 	fields                      []field
@@ -28,7 +28,7 @@
 
 type field struct{ name, value string }
 
-// values returns the values of the header lines of that name.
+// values returns the values of the header lines of that name, which is matched regardless of case.
 func (r *strictRequest) values(name string) (list []string) {
 	for _, f := range r.fields {
 		if strings.EqualFold(f.name, name) {
@@ -38,7 +38,7 @@
 	return list
 }
 
-// closes says that no request may follow on the connection.
+// closes reports whether the connection must close after the request.
 func (r *strictRequest) closes() bool {
 	persistent := r.proto != "HTTP/1.0"
 	for _, v := range r.values("Connection") {
@@ -54,10 +54,10 @@
 	return !persistent
 }
 
-var errIncomplete = errors.New("the bytes end within a request")
+var errIncomplete = errors.New("incomplete request")
 
-// parseStrict reads requests until the bytes end, or one of them is not well-formed. It shares no code with the library
-// that the door reads with.
+// parseStrict parses requests up to the end of s, the first one that closes the connection, or the first malformed one.
+// It shares no code with net/http, which the node reads requests with.
 func parseStrict(s string, allowed strictness) (list []strictRequest, err error) {
 	p := &strictReader{rest: s, strictness: allowed}
 	for p.rest != "" {
@@ -81,7 +81,7 @@
 	strictness strictness
 }
 
-// line takes a line with its end.
+// line consumes a line and returns it without its line end.
 func (p *strictReader) line(bareLF bool) (string, error) {
 	i := strings.IndexByte(p.rest, '\n')
 	if i < 0 {
@@ -90,7 +90,7 @@
 	line, ended := strings.CutSuffix(p.rest[:i], "\r")
 	p.rest = p.rest[i+1:]
 	if !ended && !bareLF || strings.Contains(line, "\r") {
-		return "", fmt.Errorf("line %q ends badly", line)
+		return "", fmt.Errorf("line %q has an invalid line end", line)
 	}
 	return line, nil
 }
@@ -102,17 +102,17 @@
 	}
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
-		return r, fmt.Errorf("request line %q", line)
+		return r, fmt.Errorf("malformed request line %q", line)
 	}
 	r.method, r.target, r.proto = parts[0], parts[1], parts[2]
 	if !isToken(r.method) || !isTarget(r.target) || !isVersion(r.proto) {
-		return r, fmt.Errorf("request line %q", line)
+		return r, fmt.Errorf("malformed request line %q", line)
 	}
 	if r.fields, err = p.fields(); err != nil {
 		return r, err
 	}
 	if hosts := len(r.values("Host")); hosts > 1 || hosts == 0 && r.proto != "HTTP/1.0" {
-		return r, fmt.Errorf("%d hosts", hosts)
+		return r, fmt.Errorf("%d Host header lines", hosts)
 	}
 	r.body, err = p.body(&r)
 	return r, err
@@ -126,7 +126,7 @@
 		}
 		if line[0] == ' ' || line[0] == '\t' {
 			if !p.strictness.folded || len(list) == 0 {
-				return nil, errors.New("folded line")
+				return nil, errors.New("folded header line")
 			}
 			last := &list[len(list)-1]
 			last.value = strings.Trim(last.value+" "+strings.Trim(line, " \t"), " \t")
@@ -136,7 +136,7 @@
 		name, value, found := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
 		if !found || !isToken(name) || !isValue(value) {
-			return nil, fmt.Errorf("header line %q", line)
+			return nil, fmt.Errorf("malformed header line %q", line)
 		}
 		list = append(list, field{name, value})
 	}
@@ -146,9 +146,9 @@
 	lengths, codings := r.values("Content-Length"), r.values("Transfer-Encoding")
 	switch {
 	case len(lengths) > 1, len(codings) > 1, len(lengths) > 0 && len(codings) > 0:
-		return "", errors.New("more than one thing says how long the body is")
+		return "", errors.New("ambiguous body length")
 	case len(codings) == 1 && (r.proto == "HTTP/1.0" || !strings.EqualFold(codings[0], "chunked")):
-		return "", fmt.Errorf("coding %q", codings[0])
+		return "", fmt.Errorf("unsupported transfer coding %q", codings[0])
 	case len(codings) == 1:
 		return p.chunks()
 	case len(lengths) == 0:
@@ -156,7 +156,7 @@
 	}
 	n, err := strconv.ParseUint(lengths[0], 10, 63)
 	if err != nil || strings.Trim(lengths[0], "0123456789") != "" {
-		return "", fmt.Errorf("length %q", lengths[0])
+		return "", fmt.Errorf("malformed Content-Length %q", lengths[0])
 	}
 	return p.take(n)
 }
@@ -180,7 +180,7 @@
 		size = strings.TrimRight(size, " \t")
 		n, err := strconv.ParseUint(size, 16, 63)
 		if err != nil || strings.Trim(size, "0123456789abcdefABCDEF") != "" || !isValue(extension) {
-			return "", fmt.Errorf("chunk's line %q", line)
+			return "", fmt.Errorf("malformed chunk size line %q", line)
 		}
 		if n == 0 {
 			_, err := p.fields()
@@ -195,30 +195,31 @@
 		case err != nil:
 			return "", err
 		case end != "":
-			return "", fmt.Errorf("%q after a chunk", end)
+			return "", fmt.Errorf("unexpected %q after a chunk", end)
 		}
 	}
 }
 
-// isToken says whether the text is a token (RFC 9110, 5.6.2).
+// isToken reports whether s is a token (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(c rune) bool {
 		return c <= ' ' || c >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c)
 	}) < 0
 }
 
-// isVersion says whether the text is HTTP/1 with a later version's digit, or none.
+// isVersion reports whether s is HTTP/1.x with a single digit as the minor version.
 func isVersion(s string) bool {
 	digit, found := strings.CutPrefix(s, "HTTP/1.")
 	return found && len(digit) == 1 && digit[0] >= '0' && digit[0] <= '9'
 }
 
-// isTarget says whether the text has no byte that ends a request's target, or splits it elsewhere.
+// isTarget reports whether s is not empty and has no whitespace, control character or "#", which would end the request
+// target or split it.
 func isTarget(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c == 0x7f || c == '#' }) < 0
 }
 
-// isValue says whether a header line's value has no control characters but tabs.
+// isValue reports whether s has no control characters other than tabs.
 func isValue(s string) bool {
 	return strings.IndexFunc(s, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) < 0
 }
