--- a/node/raw_fuzz_test.go
+++ b/node/raw_fuzz_test.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// maxSeedBytes is the longest case that fuzzing begins with.
+	// maxSeedBytes is the size of the longest case that is added to the seed corpus.
 	maxSeedBytes = 4 << 10
-	// fuzzErrorTimeout is how long the door may take to answer what is no request, and lull how long it is watched when all
-	// requests have been answered.
+	// fuzzErrorTimeout bounds the wait for a response to malformed bytes. fuzzIdleTimeout is how long the connection is read
+	// for further responses once all requests have been answered.
 	fuzzErrorTimeout = 60 * time.Millisecond
 	fuzzIdleTimeout  = 8 * time.Millisecond
 )
 
-// generatedID is the form of ids that the door gives to requests without one.
+// generatedID matches the ids that the node generates for requests without one.
 var generatedID = regexp.MustCompile("^[0-9a-f]{1,16}$")
 
-// FuzzRaw has a caller write any bytes. The target never sees a request that does not stand in them by a strict reading,
-// nor one more often than it stands there, and nothing that is malformed is answered as if it were a request.
+// FuzzRaw sends arbitrary bytes to a node. It guards against request smuggling: each request that the target sees must
+// be one that a strict parser finds in the bytes, no more often than it occurs there, and malformed bytes get no 2xx response.
 func FuzzRaw(f *testing.F) {
 	for _, cases := range [][]rawCase{framingCases(), lineCases(), targetCases(), formCases(), bodyCases(), brokenBodyCases(), orderCases(), ambiguousCases()} {
 		for _, c := range cases {
@@ -45,17 +45,17 @@
 		statuses := d.statuses(t, sent, list, err != nil)
 		for i, status := range statuses {
 			if i >= len(list) && status < http.StatusMultipleChoices {
-				t.Fatalf("answer %d is %d, but %d requests were sent, %v: %q", i, status, len(list), err, sent)
+				t.Fatalf("response %d has status %d, but %d requests were sent, %v: %q", i, status, len(list), err, sent)
 			}
 		}
 		seen := d.target.Seen()
 		for _, s := range seen {
 			if s.Cut {
-				continue // no target takes it for a request
+				continue // a target does not run a truncated request
 			}
 			i := slices.IndexFunc(list, func(r strictRequest) bool { return r.matches(s) })
 			if i < 0 {
-				t.Fatalf("nobody sent %q: %q", formatSeen([]standin.Seen{s}), sent)
+				t.Fatalf("the target saw %q, which was not sent: %q", formatSeen([]standin.Seen{s}), sent)
 			}
 			list = slices.Delete(list, i, i+1)
 		}
@@ -65,7 +65,8 @@
 	})
 }
 
-// statuses writes the bytes and returns the final statuses of what comes back.
+// statuses writes the bytes and returns the statuses of the responses, without 1xx. With more, an error response may
+// follow those to the requests in list.
 func (d *rawServer) statuses(t *testing.T, sent []byte, list []strictRequest, more bool) (statuses []int) {
 	nc, err := net.Dial("tcp", d.address)
 	if err != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// matches says whether a target may see the request so.
+// matches reports whether s is the request as the target may receive it.
 func (r *strictRequest) matches(s standin.Seen) bool {
 	target := reading.OriginForm(&http.Request{RequestURI: r.target})
 	ids := r.values("X-Request-Id")
