--- a/node/raw_body_test.go
+++ b/node/raw_body_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// bodyCases have odd bodies in chunks, and trailers.
+// bodyCases have unusual chunked bodies and trailers, most of them valid.
 func bodyCases() []rawCase {
 	body := func(s string) string { return post("a", chunked) + s }
 	trailer := func(lines string) string { return body(chunk("hello") + "0\r\n" + lines + "\r\n\r\n") }
@@ -26,12 +26,12 @@
 		{"a long extension", body("5;" + strings.Repeat("a", 3000) + "\r\nhello\r\n" + lastChunk), "200:a kept", well},
 		{"a size of 64 bits", body("ffffffffffffffff\r\nhello\r\n" + lastChunk), "open", ""},
 		{"chunks that have not ended", body(chunk("hello")), "open", ""},
-		{"a body shorter than told", post("a", "Content-Length: 10") + "hello", "open", ""},
-		{"a body longer than told", post("a", "Content-Length: 5") + "hello!", "200:a open", well},
-		{"a body longer than told by lines", post("a", "Content-Length: 5") + "hello world\r\n\r\n", "200:a 400 closed", well},
+		{"a body shorter than its Content-Length", post("a", "Content-Length: 10") + "hello", "open", ""},
+		{"a body longer than its Content-Length", post("a", "Content-Length: 5") + "hello!", "200:a open", well},
+		{"a body longer than its Content-Length by lines", post("a", "Content-Length: 5") + "hello world\r\n\r\n", "200:a 400 closed", well},
 
 		{"a trailer", trailer("X-A: b"), "200:a kept", well},
-		{"a trailer that is told", post("a", chunked, "Trailer: X-A") + chunk("hello") + "0\r\nX-A: b\r\n\r\n", "200:a kept", well},
+		{"a trailer that is announced", post("a", chunked, "Trailer: X-A") + chunk("hello") + "0\r\nX-A: b\r\n\r\n", "200:a kept", well},
 		{"a length in the trailer", trailer("Content-Length: 58"), "200:a kept", well},
 		{"a coding in the trailer", trailer(chunked), "200:a kept", well},
 		{"a host in the trailer", trailer("Host: other"), "200:a kept", well},
@@ -41,13 +41,13 @@
 		{"a deadline in the trailer", trailer("X-Deadline-Ms: 0"), "200:a kept", well},
 		{"Connection in the trailer", trailer("Connection: close"), "200:a kept", well},
 		{"a request after the trailer", body(lastChunk) + get("b"), "200:a 200:b kept", "a: POST /get/a, b: GET /get/b"},
-		{"a length that the trailer is told to have", post("a", chunked, "Trailer: Content-Length") + chunk("hello") + "0\r\nContent-Length: 58\r\n\r\n", "400 closed", ""},
-		{"a coding that the trailer is told to have", post("a", chunked, "Trailer: Transfer-Encoding") + chunk("hello") + "0\r\n" + chunked + "\r\n\r\n", "400 closed", ""},
+		{"a length that is announced as a trailer", post("a", chunked, "Trailer: Content-Length") + chunk("hello") + "0\r\nContent-Length: 58\r\n\r\n", "400 closed", ""},
+		{"a coding that is announced as a trailer", post("a", chunked, "Trailer: Transfer-Encoding") + chunk("hello") + "0\r\n" + chunked + "\r\n\r\n", "400 closed", ""},
 		{"a trailer that has not ended", body("0\r\nX-A: b\r\n"), "open", ""},
 	}
 }
 
-// orderCases have several requests on a connection, or expectations.
+// orderCases have several requests on a connection, or Expect headers.
 func orderCases() []rawCase {
 	const hello = "hello"
 	five := func(id string) string { return post(id, "Content-Length: 5") + hello }
@@ -77,17 +77,18 @@
 	}
 }
 
-// TestRawBodies has callers send odd chunks and trailers.
+// TestRawBodies sends unusual chunked bodies and trailers.
 func TestRawBodies(t *testing.T) {
 	newRawServer(t).run(t, bodyCases())
 }
 
-// TestRawOrder has callers send several requests at once, and expect things.
+// TestRawOrder sends pipelined requests, and requests with Expect. Each response belongs to its request, also after one
+// that is refused with its body unread.
 func TestRawOrder(t *testing.T) {
 	newRawServer(t).run(t, orderCases())
 }
 
-// brokenBodyCases have bodies that no reader could tell the end of, or that grow too large.
+// brokenBodyCases have bodies that are malformed, incomplete or too large.
 func brokenBodyCases() []rawCase {
 	body := func(s string) string { return post("a", chunked) + s }
 	trailer := func(lines string) string { return body(chunk("hello") + "0\r\n" + lines + "\r\n\r\n") }
@@ -103,7 +104,7 @@
 		{"two CRs after a size", body("5\r\r\nhello\r\n" + lastChunk), "400 closed", ""},
 		{"a bare LF after a chunk", body("5\r\nhello\n" + lastChunk), "400 closed", ""},
 		{"a bare CR after a chunk", body("5\r\nhello\r" + lastChunk), "400 closed", ""},
-		{"two signs after a chunk", body("5\r\nhelloXX" + lastChunk), "400 closed", ""},
+		{"two characters after a chunk", body("5\r\nhelloXX" + lastChunk), "400 closed", ""},
 		{"nothing after a chunk", body("5\r\nhello" + lastChunk), "400 closed", ""},
 		{"a bare LF after the last size", body(chunk("hello") + "0\n\r\n" + smuggled), "400 closed", ""},
 		{"no size", body("\r\nhello\r\n" + lastChunk), "400 closed", ""},
@@ -117,9 +118,9 @@
 		{"a size after a tab", body("\t5\r\nhello\r\n" + lastChunk), "400 closed", ""},
 		{"a size with a NUL", body("5\x00\r\nhello\r\n" + lastChunk), "400 closed", ""},
 		{"a size over 64 bits that wraps to five", body("10000000000000005\r\nhello\r\n" + lastChunk), "400 closed", ""},
-		{"a chunk shorter than told", body("6\r\nhello\r\n" + lastChunk), "400 closed", ""},
-		{"a chunk longer than told", body("4\r\nhello\r\n" + lastChunk), "400 closed", ""},
-		{"chunks over what is allowed", body(strings.Repeat(chunk(strings.Repeat("x", 1<<16)), 17) + lastChunk), "413 closed", "a: POST /get/a cut"},
+		{"a chunk shorter than its size", body("6\r\nhello\r\n" + lastChunk), "400 closed", ""},
+		{"a chunk longer than its size", body("4\r\nhello\r\n" + lastChunk), "400 closed", ""},
+		{"chunks over the size limit", body(strings.Repeat(chunk(strings.Repeat("x", 1<<16)), 17) + lastChunk), "413 closed", "a: POST /get/a cut"},
 		{"a space before a trailer's colon", trailer("X-A : b"), "400 closed", ""},
 		{"a trailer without colon", trailer("GET /get/evil HTTP/1.1"), "400 closed", ""},
 		{"NUL in a trailer", trailer("X-A: b\x00"), "400 closed", ""},
@@ -132,13 +133,13 @@
 	}
 }
 
-// TestRawBrokenBodies has callers send bodies that are none. Each is told so at once, and the target never gets a
-// whole request.
+// TestRawBrokenBodies sends malformed bodies. Each gets an error response at once, and the target never receives a
+// complete request.
 func TestRawBrokenBodies(t *testing.T) {
 	newRawServer(t).run(t, brokenBodyCases())
 }
 
-// missingBodyCases are refused while their body has not come.
+// missingBodyCases are refused before their body has arrived.
 func missingBodyCases() []rawCase {
 	none := func(lines ...string) string {
 		return head(append([]string{"POST /other/ HTTP/1.1", "Host: shop"}, lines...)...)
@@ -151,8 +152,8 @@
 	}
 }
 
-// TestRawRefusalsDoNotWait has callers be refused who do not send the body that they told of. They are answered, and
-// their connections end.
+// TestRawRefusalsDoNotWait sends requests that are refused and whose announced body never arrives. The node responds
+// and closes the connection without waiting for the body.
 func TestRawRefusalsDoNotWait(t *testing.T) {
 	d := newRawServer(t)
 	start := time.Now()
@@ -160,8 +161,8 @@
 	is.New(t).True(time.Since(start) < 6*time.Second)
 }
 
-// TestRawRefusalAfterRest has a connection rest for longer than its last request had, and then ask for what is refused.
-// The bounds of one request do not hold for the next.
+// TestRawRefusalAfterRest leaves a connection idle past the deadline of its last request, and then sends one that is
+// refused. The deadline of one request must not apply to the next.
 func TestRawRefusalAfterRest(t *testing.T) {
 	d := newRawServer(t)
 	for _, c := range []rawCase{
