--- a/node/raw_framing_test.go
+++ b/node/raw_framing_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// smuggled is a request that stands where a body, or nothing, should be.
+// smuggled is a request inside a body, or after the end of one: the target must never see it as a request.
 var smuggled = get("evil")
 
-// framingCases say in odd ways how long a body is.
+// framingCases give the length of a body in unusual or invalid forms.
 func framingCases() []rawCase {
 	length := func(v string) string { return post("a", "Content-Length: "+v) }
 	coding := func(lines ...string) string { return post("a", lines...) + chunk("hello") + lastChunk }
@@ -17,7 +17,7 @@
 		{"chunks", coding(chunked), "200:a kept", "a: POST /get/a hello"},
 		{"a length in capitals", post("a", "CONTENT-LENGTH: 5") + "hello", "200:a kept", "a: POST /get/a hello"},
 		{"no body", post("a"), "200:a kept", "a: POST /get/a"},
-		{"a length of nothing", length("0"), "200:a kept", "a: POST /get/a"},
+		{"a length of zero", length("0"), "200:a kept", "a: POST /get/a"},
 		{"a length with zeros before it", length("0005") + "hello", "200:a kept", "a: POST /get/a hello"},
 		{"a request within a body", length("58") + smuggled, "200:a kept", "a: POST /get/a 58 bytes"},
 		{"a request within chunks", post("a", chunked) + chunk(smuggled) + lastChunk, "200:a kept", "a: POST /get/a 58 bytes"},
@@ -30,7 +30,7 @@
 		{"empty length", length("") + smuggled, "400 closed", ""},
 		{"length with a plus", length("+5") + "hello", "400 closed", ""},
 		{"length with a minus", length("-5") + "hello", "400 closed", ""},
-		{"length of minus nothing", length("-0"), "400 closed", ""},
+		{"length of minus zero", length("-0"), "400 closed", ""},
 		{"length in hex", length("0x5") + "hello", "400 closed", ""},
 		{"length with letters", length("5a") + "hello", "400 closed", ""},
 		{"length with an underscore", length("1_0") + "hellohello", "400 closed", ""},
@@ -42,7 +42,7 @@
 		{"length over 63 bits", length("9223372036854775808") + "hello", "400 closed", ""},
 		{"length over 64 bits that wraps to five", length("18446744073709551621") + "hello", "400 closed", ""},
 		{"huge length", length(strings.Repeat("9", 400)) + "hello", "400 closed", ""},
-		{"length just over what is allowed", length("1048577") + "hello", "413 closed", ""},
+		{"length just over the limit", length("1048577") + "hello", "413 closed", ""},
 		{"length of 63 bits", length("9223372036854775807") + "hello", "413 closed", ""},
 		{"length with spaces around", length("  5\t ") + "hello", "200:a kept", "a: POST /get/a hello"},
 		{"length with a form feed", length("5\f") + "hello", "400 closed", ""},
@@ -85,19 +85,19 @@
 	}
 }
 
-// TestRawFraming has callers say in odd ways how long a body is.
+// TestRawFraming sends requests with unusual or invalid Content-Length and Transfer-Encoding headers.
 func TestRawFraming(t *testing.T) {
 	newRawServer(t).run(t, framingCases())
 }
 
-// ambiguousCases have two things say how long a body is, so that two readers may find different requests.
+// ambiguousCases give the length of a body twice, so that two parsers may find different requests.
 func ambiguousCases() []rawCase {
 	coding := func(lines ...string) string { return post("a", lines...) + chunk("hello") + lastChunk }
 	return []rawCase{
-		{"two lengths alike", post("a", "Content-Length: 5", "Content-Length: 5") + "hello", "400 closed", ""},
+		{"two equal lengths", post("a", "Content-Length: 5", "Content-Length: 5") + "hello", "400 closed", ""},
 		{"length, then chunked", coding("Content-Length: 5", chunked), "400 closed", ""},
 		{"chunked, then length", coding(chunked, "Content-Length: 15"), "400 closed", ""},
-		{"length of nothing, and chunked", coding("Content-Length: 0", chunked), "400 closed", ""},
+		{"length of zero, and chunked", coding("Content-Length: 0", chunked), "400 closed", ""},
 		{"length and chunked around a request", post("a", "Content-Length: 4", chunked) + lastChunk + smuggled, "400 closed", ""},
 		{"length that hides a request from chunks", post("a", "Content-Length: 63", chunked) + lastChunk + smuggled, "400 closed", ""},
 		{"the second has a length and chunks", get("a") + post("b", "Content-Length: 4", chunked) + lastChunk + smuggled, "200:a 400 closed", "a: GET /get/a"},
@@ -107,7 +107,8 @@
 	}
 }
 
-// TestRawAmbiguousLengths has callers say in two ways how long a body is. None of it runs.
+// TestRawAmbiguousLengths sends requests whose body length is ambiguous. No ambiguous request reaches the
+// target.
 func TestRawAmbiguousLengths(t *testing.T) {
 	newRawServer(t).run(t, ambiguousCases())
 }
