--- a/node/raw_lines_test.go
+++ b/node/raw_lines_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// lineCases have odd header lines and line ends.
+// lineCases have unusual or invalid header lines and line ends.
 func lineCases() []rawCase {
 	lf := func(s string) string { return strings.ReplaceAll(s, "\r\n", "\n") }
 	with := func(line string) string { return get("a", line) }
@@ -47,7 +47,7 @@
 		{"a folded line", with("X-A: b\r\n c"), "200:a kept", "a: GET /get/a"},
 		{"a line folded by a tab", with("X-A: b\r\n\tc"), "200:a kept", "a: GET /get/a"},
 		{"a line folded over a bare LF", with("X-A: b\n c"), "200:a kept", "a: GET /get/a"},
-		{"a folded line of nothing", with("X-A: b\r\n \r\n c"), "200:a kept", "a: GET /get/a"},
+		{"an empty folded line", with("X-A: b\r\n \r\n c"), "200:a kept", "a: GET /get/a"},
 		{"a folded id", head("GET /get/a HTTP/1.1", "Host: shop", "X-Request-Id:\r\n a"), "200:a kept", "a: GET /get/a"},
 		{"a folded line that looks like a request", with("X-A: b\r\n GET /get/evil HTTP/1.1"), "200:a kept", "a: GET /get/a"},
 		{"a folded host", head("GET /get/a HTTP/1.1", "Host:\r\n shop", "X-Request-Id: a"), "200:a kept", "a: GET /get/a"},
@@ -56,18 +56,18 @@
 		{"an empty line before the request", "\r\n" + get("a"), "400 closed", ""},
 		{"an empty line between requests", get("a") + "\r\n" + get("b"), "200:a 400 closed", "a: GET /get/a"},
 		{"an empty line after a POST", post("a", "Content-Length: 5") + "hello\r\n" + get("b"), "200:a 200:b kept", "a: POST /get/a hello, b: GET /get/b"},
-		{"a header larger than the state allows", with("X-A: " + strings.Repeat("x", 17<<10)), "431 kept", ""},
+		{"a header over the configured limit", with("X-A: " + strings.Repeat("x", 17<<10)), "431 kept", ""},
 		{"a header that has not ended", strings.TrimSuffix(get("a"), "\r\n"), "open", ""},
 		{"a request line that has not ended", "GET /get/a HT", "open", ""},
 	}
 }
 
-// TestRawLines has callers write odd header lines and line ends.
+// TestRawLines sends unusual and invalid header lines and line ends.
 func TestRawLines(t *testing.T) {
 	newRawServer(t).run(t, lineCases())
 }
 
-// largeHeaderCases have headers that are much larger than a node takes.
+// largeHeaderCases have headers far over a node's limit.
 func largeHeaderCases() []rawCase {
 	with := func(line string) string { return get("a", line) }
 	return []rawCase{
@@ -79,23 +79,23 @@
 	}
 }
 
-// longBodyCases are refused by their headers, and have long bodies behind them.
+// longBodyCases are refused before their long bodies are read.
 func longBodyCases() []rawCase {
 	long := strings.Repeat("x", 1<<20)
 	return []rawCase{
 		{"a malformed header", post("a", "X-A : b", "Content-Length: 1048576") + long, "400 closed", ""},
 		{"an unknown coding", post("a", "Transfer-Encoding: gzip") + long, "501 closed", ""},
 		{"two hosts", post("a", "Host: other", "Content-Length: 1048576") + long, "400 closed", ""},
-		{"a length that is none", post("a", "Content-Length: -1") + long, "400 closed", ""},
+		{"an invalid length", post("a", "Content-Length: -1") + long, "400 closed", ""},
 		{"an unknown expectation", post("a", "Expect: x", "Content-Length: 1048576") + long, "417 closed", ""},
 		{"no route", head("POST /other/ HTTP/1.1", "Host: shop", "Content-Length: 1048576") + long, "404 closed", ""},
-		{"a body above the bound", post("a", "Content-Length: 1048577") + long + "x", "413 closed", ""},
-		{"a chunk's size that is none", post("a", chunked) + "z\r\n" + long, "400 closed", ""},
+		{"a body over the size limit", post("a", "Content-Length: 1048577") + long + "x", "413 closed", ""},
+		{"an invalid chunk size", post("a", chunked) + "z\r\n" + long, "400 closed", ""},
 	}
 }
 
-// TestRawAnswersArriveWhole has callers be refused while they send, by very large headers and before long bodies. Each gets
-// its answer whole, and no reset in its place.
+// TestRawAnswersArriveWhole sends requests that are refused while the caller is still writing a very large header or a
+// long body. Each caller receives the complete response, and not a connection reset.
 func TestRawAnswersArriveWhole(t *testing.T) {
 	newRawServer(t).run(t, append(largeHeaderCases(), longBodyCases()...))
 }
