--- a/node/raw_target_test.go
+++ b/node/raw_target_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// targetCases ask for odd paths and hosts, in odd ways.
+// targetCases have unusual or invalid request lines and hosts.
 func targetCases() []rawCase {
 	at := func(target string) string { return head("GET "+target+" HTTP/1.1", "Host: shop", "X-Request-Id: a") }
 	line := func(s string) string { return head(s, "Host: shop", "X-Request-Id: a") }
@@ -16,15 +16,15 @@
 		{"an encoded line end", at("/get/a%0d%0ab"), "200:a kept", "a: GET /get/a%0d%0ab"},
 		{"an encoded space", at("/get/a%20b"), "200:a kept", "a: GET /get/a%20b"},
 		{"an encoded fragment", at("/get/a%23b"), "200:a kept", "a: GET /get/a%23b"},
-		{"an encoding that is none", at("/get/a%zz"), "400 closed", ""},
-		{"an encoding that is cut", at("/get/a%2"), "400 closed", ""},
-		{"an encoding that is none, in the query", at("/get/a?b=%zz"), "200:a kept", "a: GET /get/a?b=%zz"},
+		{"an invalid encoding", at("/get/a%zz"), "400 closed", ""},
+		{"a truncated encoding", at("/get/a%2"), "400 closed", ""},
+		{"an invalid encoding in the query", at("/get/a?b=%zz"), "200:a kept", "a: GET /get/a?b=%zz"},
 		{"slashes twice", at("/get//a"), "200:a kept", "a: GET /get//a"},
 		{"slashes twice at the start", at("//get/a"), "404 kept", ""},
 		{"a backslash", at(`/get/a\b`), "200:a kept", `a: GET /get/a\b`},
-		{"signs that should be encoded", at(`/get/a"{|}^`), "200:a kept", `a: GET /get/a"{|}^`},
+		{"characters that should be encoded", at(`/get/a"{|}^`), "200:a kept", `a: GET /get/a"{|}^`},
 		{"bytes above ASCII", at("/get/ä\xff"), "200:a kept", "a: GET /get/ä\xff"},
-		{"a query of nothing", at("/get/a?"), "200:a kept", "a: GET /get/a?"},
+		{"an empty query", at("/get/a?"), "200:a kept", "a: GET /get/a?"},
 		{"two question marks", at("/get/a?b?c"), "200:a kept", "a: GET /get/a?b?c"},
 		{"a dot", at("/get/./a"), "200:a kept", "a: GET /get/./a"},
 		{"dots that stay within the route", at("/get/b/../a"), "200:a kept", "a: GET /get/b/../a"},
@@ -46,12 +46,12 @@
 		{"a space before the method", line(" GET /get/a HTTP/1.1"), "400 closed", ""},
 		{"a request without version", "GET /get/a\r\n\r\n", "400 closed", ""},
 		{"no method", line("/get/a HTTP/1.1"), "400 closed", ""},
-		{"a method with signs", line("GE(T /get/a HTTP/1.1"), "400 closed", ""},
-		{"a method of its own", line("BREW /get/a HTTP/1.1"), "200:a kept", "a: BREW /get/a"},
+		{"a method with a parenthesis", line("GE(T /get/a HTTP/1.1"), "400 closed", ""},
+		{"a custom method", line("BREW /get/a HTTP/1.1"), "200:a kept", "a: BREW /get/a"},
 		{"a method in small letters", line("get /get/a HTTP/1.1"), "200:a kept", "a: get /get/a"},
 
 		{"HTTP/1.0", line("GET /get/a HTTP/1.0"), "200:a closed", "a: GET /get/a"},
-		{"HTTP/1.0 that wants to stay", head("GET /get/a HTTP/1.0", "Host: shop", "X-Request-Id: a", "Connection: keep-alive"), "200:a kept", "a: GET /get/a"},
+		{"HTTP/1.0 with keep-alive", head("GET /get/a HTTP/1.0", "Host: shop", "X-Request-Id: a", "Connection: keep-alive"), "200:a kept", "a: GET /get/a"},
 		{"HTTP/1.0 without host", "GET /get/a HTTP/1.0\r\nX-Request-Id: a\r\n\r\n", "404 closed", ""},
 		{"HTTP/0.9", line("GET /get/a HTTP/0.9"), "505 closed", ""},
 		{"HTTP/1.2", line("GET /get/a HTTP/1.2"), "200:a kept", "a: GET /get/a"},
@@ -61,7 +61,7 @@
 		{"HTTP/1.10", line("GET /get/a HTTP/1.10"), "400 closed", ""},
 
 		{"two hosts", hosts("Host: shop", "Host: other"), "400 closed", ""},
-		{"two hosts alike", hosts("Host: shop", "Host: shop"), "400 closed", ""},
+		{"two equal hosts", hosts("Host: shop", "Host: shop"), "400 closed", ""},
 		{"two hosts, one in small letters", hosts("Host: shop", "host: other"), "400 closed", ""},
 		{"two hosts in a line", hosts("Host: shop, other"), "400 closed", ""},
 		{"no host", hosts(), "400 closed", ""},
@@ -74,7 +74,7 @@
 		{"a host with a NUL", hosts("Host: shop\x00"), "400 closed", ""},
 		{"a host with a space", hosts("Host: sh op"), "400 closed", ""},
 		{"a host that Connection names", hosts("Host: shop", "Connection: Host"), "200:a kept", "a: GET /get/a"},
-		{"another host beside it", hosts("Host: shop", "X-Forwarded-Host: other"), "200:a kept", "a: GET /get/a"},
+		{"another host in X-Forwarded-Host", hosts("Host: shop", "X-Forwarded-Host: other"), "200:a kept", "a: GET /get/a"},
 
 		{"the absolute form that names another host", at("http://other/get/a"), "404 kept", ""},
 		{"the absolute form without host", "GET http://shop/get/a HTTP/1.1\r\nX-Request-Id: a\r\n\r\n", "400 closed", ""},
@@ -89,12 +89,12 @@
 	}
 }
 
-// TestRawTargets has callers ask for odd paths and hosts, in odd ways.
+// TestRawTargets sends unusual and invalid request lines and hosts.
 func TestRawTargets(t *testing.T) {
 	newRawServer(t).run(t, targetCases())
 }
 
-// formCases ask for targets in forms that a target may read in another way than the route.
+// formCases have request targets that the node's router and a target may interpret differently.
 func formCases() []rawCase {
 	at := func(target string) string { return head("GET "+target+" HTTP/1.1", "Host: shop", "X-Request-Id: a") }
 	line := func(s string) string { return head(s, "Host: shop", "X-Request-Id: a") }
@@ -103,12 +103,12 @@
 		{"dots that lead to another route", at("/get/../once/a"), "400 kept", ""},
 		{"encoded dots that lead to another route", at("/get/%2e%2E/once/a"), "400 kept", ""},
 		{"dots that lead to no route", at("/get/../other/a"), "400 kept", ""},
-		{"dots that lead above all", at("/get/../../../a"), "400 kept", ""},
+		{"dots that lead above the root", at("/get/../../../a"), "400 kept", ""},
 		{"dots that end the path", at("/get/a/../.."), "400 kept", ""},
 		{"a fragment", at("/get/a#b"), "400 kept", ""},
 		{"a fragment in the query", at("/get/a?b#c"), "400 kept", ""},
 		{"the preface of HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "400 closed", ""},
-		{"a host with a port that is none", host("shop:evil"), "400 kept", ""},
+		{"a host with an invalid port", host("shop:evil"), "400 kept", ""},
 		{"a host with two ports", host("shop:80:80"), "400 kept", ""},
 		{"the absolute form", at("http://shop/get/a?b=c"), "200:a kept", "a: GET /get/a?b=c"},
 		{"the absolute form with a port", at("http://shop:80/get/a"), "200:a kept", "a: GET /get/a"},
@@ -127,7 +127,7 @@
 		{"an encoded letter that hides another route", head("GET /o%6ece/a HTTP/1.1", "Host: all", "X-Request-Id: a"), "400 kept", ""},
 		{"slashes that hide another route", head("GET //once/a HTTP/1.1", "Host: all", "X-Request-Id: a"), "400 kept", ""},
 		{"a dot that hides another route", head("GET /./once/a HTTP/1.1", "Host: all", "X-Request-Id: a"), "400 kept", ""},
-		{"an encoded slash that is no route's", head("GET /once%2Fa HTTP/1.1", "Host: all", "X-Request-Id: a"), "200:a kept", "a: GET /once%2Fa"},
+		{"an encoded slash that matches no other route", head("GET /once%2Fa HTTP/1.1", "Host: all", "X-Request-Id: a"), "200:a kept", "a: GET /once%2Fa"},
 		{"an encoded letter of the same route", head("GET /g%65t/a HTTP/1.1", "Host: all", "X-Request-Id: a"), "200:a kept", "a: GET /g%65t/a"},
 		{"dots with a parameter", at("/get/..;a=b/once/a"), "400 kept", ""},
 		{"encoded dots with a parameter", at("/get/%2e.;/once/a"), "400 kept", ""},
@@ -137,7 +137,8 @@
 	}
 }
 
-// TestRawForms has callers ask in forms that a target may read in another way than the route.
+// TestRawForms sends request targets that a target may interpret differently from the node's router. The node refuses
+// those that could reach another route.
 func TestRawForms(t *testing.T) {
 	newRawServer(t).run(t, formCases())
 }
