--- a/node/raw_framing_test.go
+++ b/node/raw_framing_test.go
@@ -107,8 +107,7 @@
 	}
 }
 
-// TestRawAmbiguousLengths sends requests whose body length is ambiguous. No ambiguous request reaches the
-// target.
+// TestRawAmbiguousLengths sends requests whose body length is ambiguous. None of these may reach the target.
 func TestRawAmbiguousLengths(t *testing.T) {
 	newRawServer(t).run(t, ambiguousCases())
 }
--- a/node/raw_strict_test.go
+++ b/node/raw_strict_test.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// A strictness selects the forms that a strictReader accepts although RFC 9112 forbids senders to generate them.
+// A strictness selects the forms that a strictReader accepts. RFC 9112 lets recipients accept them but forbids senders
+// to generate them.
 type strictness struct {
-	// bareLF accepts a line end without CR (section 2.2), folded accepts folded header lines (5.2), and emptyLines accepts
-	// up to four CR or LF bytes after a POST request (2.2).
+	// bareLF accepts header lines that end without CR (section 2.2), folded accepts folded header lines (5.2), and
+	// emptyLines accepts up to four CR or LF bytes after a POST request (2.2).
 	bareLF, folded, emptyLines bool
 }
 
--- a/node/raw_test.go
+++ b/node/raw_test.go
@@ -21,8 +21,8 @@
 const (
 	// rawTimeout bounds the wait for a response. rawIdleTimeout is how long play waits for further responses once the
 	// expected ones have arrived.
-	rawTimeout = 3 * time.Second
-	rawIdleTimeout    = 40 * time.Millisecond
+	rawTimeout     = 3 * time.Second
+	rawIdleTimeout = 40 * time.Millisecond
 	// probeID is the id of the request that is sent after a case's bytes, on the same connection.
 	probeID = "probe"
 	// maxShownBody is the longest body in bytes that formatSeen prints in full.
@@ -43,9 +43,9 @@
 type rawServer struct {
 	address string
 	// probeHeaders holds additional header lines of the probe, each with its CRLF.
-	probeHeaders  string
-	target *standin.Target
-	proxy    *recordingProxy
+	probeHeaders string
+	target       *standin.Target
+	proxy        *recordingProxy
 }
 
 // newRawServer starts a node with the routes /get/ and /once/ of host "shop", and / and /once/ of host "all".
@@ -204,7 +204,7 @@
 	listener net.Listener
 	to       string
 
-	mu    sync.Mutex
+	mu       sync.Mutex
 	received []*strings.Builder
 }
 
