--- a/node/services.go
+++ b/node/services.go
@@ -146,7 +146,7 @@
 	return svc
 }
 
-// statsFor returns the durations of the route's requests. At maxPaces routes it discards all of them, since routes come and go.
+// statsFor returns the durations of the route's requests. At maxRouteStats routes it discards all of them, since routes come and go.
 func (s *service) statsFor(route string, c clock.Clock) *routeStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
